--- a/tests/recorded/record_fleet.py
+++ b/tests/recorded/record_fleet.py
@@ -30,8 +30,8 @@
     asked = [encode(one) for one in control_samples.session_requests().values()]
     answered = [encode(one) for one in control_samples.session_answers().values()]
     return {
-        "client": [client.nonce.hex(), *(client.frame(body).hex() for body in asked)],
-        "server": [server.nonce.hex(), *(server.frame(body).hex() for body in answered)],
+        "client": [client.nonce.hex(), *(client.encode_frame(body).hex() for body in asked)],
+        "server": [server.nonce.hex(), *(server.encode_frame(body).hex() for body in answered)],
     }
 
 
--- a/tests/test_control_connection.py
+++ b/tests/test_control_connection.py
@@ -80,7 +80,7 @@
     bodies: list[bytes], data: st.DataObject
 ) -> None:
     client, server = codec_pair()
-    stream = b"".join(client.frame(body) for body in bodies)
+    stream = b"".join(client.encode_frame(body) for body in bodies)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=8)))
     parts = [stream[start:end] for start, end in zip([0, *cuts], [*cuts, len(stream)], strict=True)]
     assert [body for part in parts for body in server.feed(part)] == bodies
@@ -89,7 +89,7 @@
 @given(st.integers(0, 10_000), st.integers(1, 255))
 def test_a_frame_with_one_changed_byte_is_rejected(position: int, change: int) -> None:
     client, server = codec_pair()
-    stream = bytearray(client.frame(b"a heartbeat") + client.frame(b"and another"))
+    stream = bytearray(client.encode_frame(b"a heartbeat") + client.encode_frame(b"and another"))
     changed = position % len(stream)
     stream[changed] ^= change
     received: list[bytes] = []
@@ -101,15 +101,15 @@
 
 def test_a_repeated_frame_is_rejected() -> None:
     client, server = codec_pair()
-    frame = client.frame(b"first")
+    frame = client.encode_frame(b"first")
     assert list(server.feed(frame)) == [b"first"]
     assert rejection_of(server, frame) is CloseReason.SEAL
 
 
 def test_a_reordered_or_omitted_frame_and_one_of_another_connection_are_rejected() -> None:
     client, server = codec_pair()
-    first = client.frame(b"first")
-    second = client.frame(b"second")
+    first = client.encode_frame(b"first")
+    second = client.encode_frame(b"second")
     assert rejection_of(server, second + first) is CloseReason.SEAL
     _, other_server = codec_pair()
     assert rejection_of(other_server, first) is CloseReason.SEAL
@@ -117,12 +117,12 @@
 
 def test_a_reflected_frame_is_rejected() -> None:
     client, _ = codec_pair()
-    assert rejection_of(client, client.frame(b"mine")) is CloseReason.SEAL
+    assert rejection_of(client, client.encode_frame(b"mine")) is CloseReason.SEAL
 
 
 def test_a_frame_under_another_key_is_rejected() -> None:
     client, server = codec_pair(OTHER_KEY)
-    assert rejection_of(server, client.frame(b"foreign")) is CloseReason.SEAL
+    assert rejection_of(server, client.encode_frame(b"foreign")) is CloseReason.SEAL
 
 
 @pytest.mark.parametrize("length", [0, TAG_BYTES, MAX_FRAME_BYTES + 1, 0xFFFFFFFF])
@@ -134,9 +134,9 @@
 def test_the_longest_frame_is_accepted_and_a_longer_one_is_not_made() -> None:
     client, server = codec_pair()
     body = bytes(MAX_FRAME_BYTES - TAG_BYTES)
-    assert list(server.feed(client.frame(body))) == [body]
+    assert list(server.feed(client.encode_frame(body))) == [body]
     with pytest.raises(ValueError, match="expected"):
-        client.frame(body + b"x")
+        client.encode_frame(body + b"x")
 
 
 class InjectedFaultError(Exception):
@@ -266,7 +266,7 @@
         codec = FrameCodec(MessageAuthenticator(KEY), Side.CLIENT)
         reader, writer = await asyncio.open_connection(*server.address)
         assert not list(codec.feed(await reader.readexactly(NONCE_BYTES)))
-        writer.write(codec.nonce + codec.frame(b"\x93 no message"))
+        writer.write(codec.nonce + codec.encode_frame(b"\x93 no message"))
         await until(lambda: server.counters["dropped_form"] == 1)
         writer.close()
         assert not server.handler.opened  # none of these was ever a session
@@ -296,7 +296,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         await asyncio.to_thread(sock.connect, server.address)
         assert not list(codec.feed(await asyncio.to_thread(sock.recv, NONCE_BYTES)))
-        sock.sendall(codec.nonce + codec.frame(encode(Leave())))
+        sock.sendall(codec.nonce + codec.encode_frame(encode(Leave())))
         await until(lambda: server.handler.opened)
         (connection,) = server.handler.opened
         entry = MapEntry("k" * 64, HybridTimestamp(1, 2, "r"), 1.0)
--- a/tests/test_control_process.py
+++ b/tests/test_control_process.py
@@ -107,7 +107,7 @@
         codec = FrameCodec(MessageAuthenticator(key), Side.CLIENT)
         reader, writer = await asyncio.open_connection(host, int(port))
         assert not list(codec.feed(await reader.readexactly(NONCE_BYTES)))
-        data = codec.nonce + codec.frame(encode(Heartbeat(1, None)))
+        data = codec.nonce + codec.encode_frame(encode(Heartbeat(1, None)))
         writer.write(data)
         with contextlib.suppress(ConnectionError):
             await reader.read()  # until the machine closes it
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("side", Side)
 def test_frames_are_made_as_recorded(side: Side) -> None:
     codec = codecs()[side]
-    made = [codec.nonce.hex(), *(codec.frame(body).hex() for body in bodies()[side])]
+    made = [codec.nonce.hex(), *(codec.encode_frame(body).hex() for body in bodies()[side])]
     assert made == RECORDED_FRAMES[side]
 
 
--- a/violetdoor/control/connection.py
+++ b/violetdoor/control/connection.py
@@ -103,7 +103,7 @@
         if self.is_closing:
             return
         try:
-            frame = self.codec.frame(encode(message))
+            frame = self.codec.encode_frame(encode(message))
         except ValueError as error:
             # The error says all that a traceback would.
             log.error("%s can't be sent to %s: %s", type(message).__name__, self.peer_address, error)
--- a/violetdoor/control/distribution.py
+++ b/violetdoor/control/distribution.py
@@ -52,7 +52,7 @@
         if version is None or session.sent_version == version:
             session.is_roster_paused = False
             return True
-        if self._replica.is_behind(session.attached_version):
+        if self._replica.is_behind(session.version_at_attach):
             return False
         unacknowledged = len(session.in_flight_versions)
         if unacknowledged >= MAX_IN_FLIGHT_DELTAS or session.backlog_bytes > ROSTER_BACKLOG_LIMIT_BYTES:
@@ -63,7 +63,7 @@
         for message in updates[session.sent_version]:
             self._send(session, message)
         session.sent_version = version
-        session.attached_version = None
+        session.version_at_attach = None
         session.is_roster_paused = False
         session.in_flight_versions.append(version)
         return True
--- a/violetdoor/control/frames.py
+++ b/violetdoor/control/frames.py
@@ -83,7 +83,7 @@
         self._writer: FrameWriter | None = None
         self._reader: FrameReader | None = None
 
-    def frame(self, body: bytes) -> bytes:
+    def encode_frame(self, body: bytes) -> bytes:
         """Return the next frame to send. Raises MessageTooLongError."""
         assert self._writer is not None, "no frame can be signed before the peer's nonce has come"
         if len(body) + TAG_BYTES > MAX_FRAME_BYTES:
--- a/violetdoor/control/session.py
+++ b/violetdoor/control/session.py
@@ -19,7 +19,7 @@
     attempt: int = 0
     watcher: str | None = None  # name of the control machine that watches this region
     sent_version: Version | None = None  # the roster that the peer has once it has read everything
-    attached_version: Version | None = None  # the roster that it had before
+    version_at_attach: Version | None = None  # the roster that it had before
     in_flight_versions: deque[Version] = field(default_factory=deque)  # sent, and not acknowledged
     backlog_bytes: int = 0  # queued for the peer
     is_roster_paused: bool = False  # no roster is sent until the peer's next heartbeat
--- a/violetdoor/control/sessions.py
+++ b/violetdoor/control/sessions.py
@@ -142,7 +142,7 @@
     def _welcome(self, session: Session, message: Attach | Watch, now: float) -> None:
         session.last_received_at = now
         session.sent_version = message.known_version
-        session.attached_version = message.known_version
+        session.version_at_attach = message.known_version
         plan = self._context.plan
         welcome = Welcome(
             control=plan.name,
