--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -122,7 +122,7 @@
         joined_rounds=(), round_observed_at=now,
     )  # fmt: skip
     return HandoverState(
-        process=peer.process, me=peer, state="member", started_at=now, durable_state=DurableState(view),
+        process=peer.process, local_peer=peer, state="member", started_at=now, durable_state=DurableState(view),
         latest_view=None, last_epoch=view.epoch, last_seq=view.seq, lease=lease, last_heartbeat_at=never,
         prior_views=(), has_lease=False, incarnation=0, packet_count=0, entries=(), clock=m.HybridTimestamp(0, 0, ""),
         replay_windows=(), readmissions=(), departed_instances=(), reported_views=(), ended_members=(), leaving_members=(),
--- a/tests/recorded/fleet_samples.py
+++ b/tests/recorded/fleet_samples.py
@@ -219,7 +219,7 @@
 def handover_state() -> HandoverState:
     return HandoverState(
         process=0x8899AABBCCDD0000,
-        me=peer(50),
+        local_peer=peer(50),
         state="member",
         started_at=3001.5,
         durable_state=DurableState(
@@ -256,7 +256,7 @@
         "hand-over": handover_state(),
         "hand-over, newcomer": HandoverState(
             process=1,
-            me=peer(),
+            local_peer=peer(),
             state="joining",
             started_at=2.5,
             durable_state=None,
--- a/tests/recorded/record_fleet.py
+++ b/tests/recorded/record_fleet.py
@@ -50,7 +50,7 @@
 
 def messages(groups: list[tuple[wire_forms.Samples, wire_forms.Decoder | None]]) -> dict[str, Any]:
     samples = wire_forms.with_decoders(groups)
-    return {key: wire_forms.form(value, decoder) for key, (value, decoder) in samples.items()}
+    return {key: wire_forms.encoded_forms(value, decoder) for key, (value, decoder) in samples.items()}
 
 
 def main() -> None:
--- a/tests/recorded/wire_forms.py
+++ b/tests/recorded/wire_forms.py
@@ -49,7 +49,7 @@
     }
 
 
-def form(value: Any, decoder: Decoder) -> dict[str, Any]:
+def encoded_forms(value: Any, decoder: Decoder) -> dict[str, Any]:
     """What is recorded of a sample: its bytes, and what older and newer senders' arrays are read as."""
     data = m.encode(value)
     items = msgspec.msgpack.decode(data)
--- a/tests/test_control_config.py
+++ b/tests/test_control_config.py
@@ -120,4 +120,4 @@
     assert_one_line_error(start(key="absent.key"), "absent.key: No such")
     assert_one_line_error(start(listen="203.0.113.1:7950"), "it cannot serve")
     (tmp_path / "c1.state").write_bytes(os.urandom(1 << 20))
-    assert_one_line_error(start(), "c1.state: neither of its two parts is whole")
+    assert_one_line_error(start(), "c1.state: neither of its two slots is intact")
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -262,5 +262,5 @@
         with pytest.raises(StateFileError, match="another process holds it"):
             StateFile(path)
     path.write_bytes(os.urandom(2 * SLOT_BYTES))
-    with state_file(path) as it, pytest.raises(StateFileError, match="neither of its two parts is whole"):
+    with state_file(path) as it, pytest.raises(StateFileError, match="neither of its two slots is intact"):
         it.read()
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -272,7 +272,7 @@
         ({"key": "short.key"}, "found 5 bytes, expected a key of 16 to 64"),
         ({"seeds": ["nowhere"]}, "fleet.seeds[0]: found 'nowhere', expected host:port"),
         ({"seeds": [], "founders": []}, "it would stay alone"),
-        ({"state": "broken.state"}, "neither of its two parts is whole"),
+        ({"state": "broken.state"}, "neither of its two slots is intact"),
         ({"listen": "203.0.113.1:7946"}, "it cannot serve"),
     ],
 )
--- a/tests/test_recorded_fleet.py
+++ b/tests/test_recorded_fleet.py
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("key", SAMPLES)
 def test_shorter_and_longer_arrays_are_read_as_recorded(key: str) -> None:
-    assert wire_forms.form(*SAMPLES[key]) == RECORDED["messages"][key]
+    assert wire_forms.encoded_forms(*SAMPLES[key]) == RECORDED["messages"][key]
 
 
 @pytest.mark.parametrize("key", [key for key in SAMPLES if "," not in key])
--- a/tests/test_recorded_upgrade.py
+++ b/tests/test_recorded_upgrade.py
@@ -57,7 +57,7 @@
 def fleet_state() -> HandoverState:
     """What makes a relay the member that it is; views are recorded with the fleet's messages."""
     return HandoverState(
-        process=101, me=Peer("n1", 102, "127.0.0.7", 7103, "za", 104, 105), state="member", started_at=106.5,
+        process=101, local_peer=Peer("n1", 102, "127.0.0.7", 7103, "za", 104, 105), state="member", started_at=106.5,
         durable_state=None, latest_view=None, last_epoch=107, last_seq=108,
         lease=LeaseState(
             expires_at=109.5, not_before=110.25, frozen=True, round_number=111, starter=112, joined=b"j\x71",
--- a/violetdoor/faults/virtual.py
+++ b/violetdoor/faults/virtual.py
@@ -251,7 +251,7 @@
         if host.stopped:
             self._push(self.now + 0.05, self._answered, host, life, number, answer, refused)
             return
-        host.node.handle_answer(number, answer, self.clock(host), refused=refused)
+        host.node.handle_response(number, answer, self.clock(host), refused=refused)
         self.carry_out_actions(host)
 
     # What is seen of it all.
--- a/violetdoor/fleet/endpoint.py
+++ b/violetdoor/fleet/endpoint.py
@@ -365,7 +365,7 @@
         if self.is_open:
             failed = 1 if response is None else 0
             self.counts["calls_failed"] += failed  # also by 0: operators see the counter from the first call
-            self.node.handle_answer(call.number, response, self.clock(), refused=refused)
+            self.node.handle_response(call.number, response, self.clock(), refused=refused)
             self._carry_out()
 
     async def _request(self, call: Call) -> Response:
--- a/violetdoor/fleet/handover.py
+++ b/violetdoor/fleet/handover.py
@@ -48,7 +48,7 @@
         context.update_durable_state()
         return HandoverState(
             process=context.process,
-            me=context.local_peer,
+            local_peer=context.local_peer,
             state=context.state.value,
             started_at=context.started_at,
             durable_state=None if context.view is None else context.durable_state,
@@ -79,7 +79,7 @@
         context = self.context
         context.process = state.process
         context.started_at = state.started_at
-        context.adopt_identity(state.me)
+        context.adopt_identity(state.local_peer)
         context.detector.incarnation = state.incarnation
         context.state = MemberState(state.state)
         context.latest_view = state.latest_view
--- a/violetdoor/fleet/node.py
+++ b/violetdoor/fleet/node.py
@@ -269,13 +269,13 @@
         self._end_step(now)
         return answer
 
-    def handle_answer(
-        self, call_number: int, answer: Response | None, now: float, *, refused: bool = False
+    def handle_response(
+        self, call_number: int, response: Response | None, now: float, *, refused: bool = False
     ) -> None:
         """Take the response to a call, or None if there was none; `refused`: nobody listens there."""
         if self.context.state is MemberState.LEFT:
             return
-        if self.requests.handle_answer(call_number, answer, now, refused=refused):
+        if self.requests.handle_response(call_number, response, now, refused=refused):
             self._end_step(now)
 
     # One step.
--- a/violetdoor/fleet/requests.py
+++ b/violetdoor/fleet/requests.py
@@ -77,7 +77,9 @@
         # A relay that was removed may be the only one left that knows what was decided.
         return StateSnapshot(context.view or context.latest_view, context.may_act(now), self.sync.entries())
 
-    def handle_answer(self, call_number: int, answer: Response | None, now: float, *, refused: bool) -> bool:
+    def handle_response(
+        self, call_number: int, response: Response | None, now: float, *, refused: bool
+    ) -> bool:
         """Take the response to a call, None if there was none; return whether the call was this node's.
 
         `refused`: nobody listens at that address.
@@ -87,7 +89,7 @@
         self.joining.end_call(call_number)
         if call is None:
             return False
-        match call.request, answer:
+        match call.request, response:
             case TcpPing(instance=asked), TcpAck(instance=answered):
                 self._handle_ping_answer(call, asked, answered, now)
             case TcpPing(instance=asked), None if refused:
--- a/violetdoor/fleet/state_file.py
+++ b/violetdoor/fleet/state_file.py
@@ -82,7 +82,7 @@
         if not newest_body:
             if is_empty:
                 return None
-            raise StateFileError(self.path, "neither of its two parts is whole")
+            raise StateFileError(self.path, "neither of its two slots is intact")
         try:
             return durable_state_decoder.decode(newest_body)
         except msgspec.MsgspecError as error:
--- a/violetdoor/fleet/stored_state.py
+++ b/violetdoor/fleet/stored_state.py
@@ -76,7 +76,7 @@
     """All that makes a relay the member that it is, for the process that succeeds it on this machine."""
 
     process: int
-    me: Peer
+    local_peer: Peer
     state: str  # the value of a MemberState
     started_at: float
     durable_state: DurableState | None
