--- a/benchmarks/capacity/limits.py
+++ b/benchmarks/capacity/limits.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from violetdoor.balancing.server_list import POLL_COST_MS
+from violetdoor.balancing.server_list import POLL_SERVICE_TIME_MS
 from violetdoor.configuration.operator_form import Nats
 from violetdoor.console.server import MAX_CALLERS
 from violetdoor.fleet.anti_entropy import SYNC_INTERVAL_SECONDS
@@ -21,7 +21,7 @@
 MAP_TOMBSTONE_S = TOMBSTONE_RETENTION_MS / 1000
 LIST_BODY = MAX_BODY_BYTES  # bytes
 LIST_HOLD_S = WATCH_HOLD_MS / 1000
-LIST_CALL_S = POLL_COST_MS / 1000  # that one whole list keeps a discovery busy, as the module takes it
+LIST_CALL_S = POLL_SERVICE_TIME_MS / 1000  # time that serving one complete list keeps discovery busy
 CONSOLE_CALLERS = MAX_CALLERS
 NATS_PING_S = Nats().ping_interval  # s between two PINGs to a server, for each client
 DESCRIPTORS = 20_000  # of one relay on the platform; a connection takes two
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -294,7 +294,7 @@
                 AttemptResult.OVERLOADED,
             )
         elif server.is_hanging:
-            at, result = action.give_up_at_ms, AttemptResult.TIMEOUT
+            at, result = action.timeout_at_ms, AttemptResult.TIMEOUT
             self.schedule(at, self.end_attempt, client, client.request_id, client.attempt, result)
         else:
             self.schedule(self.now_ms + SETUP_MS, self.establish, client, client.request_id, client.attempt)
--- a/tests/test_balancing_groups.py
+++ b/tests/test_balancing_groups.py
@@ -88,7 +88,7 @@
             for check in relay.actions_of(CheckHealth):
                 relay.actions.remove(check)
                 its = 0.6 if check.server == first else load
-                relay.balancer.servers[check.server].quickest_check_ms = 2.0
+                relay.balancer.servers[check.server].min_health_check_ms = 2.0
                 late = CHECK_JITTER_MS + 2.0 * its * its / (4 * (1 - its))
                 relay.deliver(
                     1.0,
--- a/tests/test_balancing_retries.py
+++ b/tests/test_balancing_retries.py
@@ -99,8 +99,8 @@
     relay.advance_to(600.0)
     relay.end_attempt(1, AttemptResult.TIMEOUT)
     first, second = relay.actions_of(StartAttempt)
-    assert first.give_up_at_ms <= 600.0
-    assert second.give_up_at_ms < 1000.0
+    assert first.timeout_at_ms <= 600.0
+    assert second.timeout_at_ms < 1000.0
 
 
 def test_widespread_timeouts_get_all_the_time_and_no_retry() -> None:
@@ -113,7 +113,7 @@
     relay.actions.clear()
     relay.request(50)
     send = relay.actions_of(StartAttempt)[-1]
-    assert send.give_up_at_ms > relay.now_ms + 1900
+    assert send.timeout_at_ms > relay.now_ms + 1900
     relay.advance_to(relay.now_ms + 300)
     relay.end_attempt(50, AttemptResult.TIMEOUT)
     assert len(relay.attempted_servers(50)) == 1
--- a/tests/test_balancing_timed_health_checks.py
+++ b/tests/test_balancing_timed_health_checks.py
@@ -29,7 +29,7 @@
         relay.request(request)
         answer_health_checks(relay, {})
         relay.establish(request)
-    while any(s.quickest_check_ms == math.inf for s in relay.balancer.servers.values()):
+    while any(s.min_health_check_ms == math.inf for s in relay.balancer.servers.values()):
         relay.advance_to(relay.now_ms + 1000.0)
         answer_health_checks(relay, {})
     return relay
--- a/tests/test_recorded_upgrade.py
+++ b/tests/test_recorded_upgrade.py
@@ -146,8 +146,8 @@
                 load=0.23,
                 reported_at_ms=1024.5,
                 health=0.25,
-                setup_ms=26.5,
-                quickest_check_ms=27.5,
+                smoothed_setup_ms=26.5,
+                min_health_check_ms=27.5,
             ),
             LearnedServerState(
                 name="s-1",
@@ -155,14 +155,14 @@
                 load=None,
                 reported_at_ms=None,
                 health=0.15,
-                setup_ms=None,
-                quickest_check_ms=None,
+                smoothed_setup_ms=None,
+                min_health_check_ms=None,
             ),
         )
         known = LearnedState(
             fleet_load=0.31,
             load_per_weight=32.5,
-            quickest_setup_ms=33.5,
+            min_setup_ms=33.5,
             timeout_fraction=0.34,
             servers=servers,
         )
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -11,7 +11,7 @@
 import pytest
 
 from violetdoor.balancing.events import ConnectionMeasured
-from violetdoor.balancing.platform_settings import settings_from
+from violetdoor.balancing.platform_settings import parse_platform_settings
 from violetdoor.simhost.host import serve
 from violetdoor.simhost.wire import read_event
 
@@ -48,7 +48,7 @@
 
 
 def test_platform_settings_are_translated() -> None:
-    settings = settings_from(FACTS)
+    settings = parse_platform_settings(FACTS)
     assert settings.classes["feed"].priority_weight == 2.0
     assert settings.classes["feed"].message_latency_objective_ms == 50.0
     assert settings.max_retry_after_ms == 900.0
--- a/violetdoor/balancing/actions.py
+++ b/violetdoor/balancing/actions.py
@@ -15,7 +15,7 @@
 
     request_id: int
     server: str
-    give_up_at_ms: float  # it counts as timed out then
+    timeout_at_ms: float  # it counts as timed out then
     start_by_ms: float = math.inf  # its first byte is sent by then, or not at all
 
 
--- a/violetdoor/balancing/balancer.py
+++ b/violetdoor/balancing/balancer.py
@@ -124,15 +124,15 @@
                 load=server.load,
                 reported_at_ms=server.reported_at_ms,
                 health=server.health,
-                setup_ms=server.setup_ms,
-                quickest_check_ms=server.quickest_check_ms,
+                smoothed_setup_ms=server.smoothed_setup_ms,
+                min_health_check_ms=server.min_health_check_ms,
             )
             for server in self.servers.values()
         )
         return LearnedState(
             fleet_load=self.load.fleet_load,
             load_per_weight=self.load.load_per_weight,
-            quickest_setup_ms=self.load_reports.quickest_setup_ms,
+            min_setup_ms=self.load_reports.min_setup_ms,
             timeout_fraction=self.retries.timeout_fraction,
             servers=rows,
         )
@@ -144,7 +144,7 @@
         """
         self.load.fleet_load = event.fleet_load
         self.load.load_per_weight = event.load_per_weight or math.inf
-        self.load_reports.quickest_setup_ms = event.quickest_setup_ms or math.inf
+        self.load_reports.min_setup_ms = event.min_setup_ms or math.inf
         self.retries.timeout_fraction = event.timeout_fraction
         self.server_list.updated(event.server_list)
         for row in event.servers:
@@ -153,8 +153,8 @@
                 continue
             server.load = row.load
             server.health = row.health
-            server.setup_ms = row.setup_ms
-            server.quickest_check_ms = row.quickest_check_ms or math.inf
+            server.smoothed_setup_ms = row.smoothed_setup_ms
+            server.min_health_check_ms = row.min_health_check_ms or math.inf
             server.reported_at_ms = row.reported_at_ms or -math.inf
 
     def _sibling_load_changed(self, event: SiblingProcessLoad) -> None:
--- a/violetdoor/balancing/events.py
+++ b/violetdoor/balancing/events.py
@@ -184,8 +184,8 @@
     load: float | None
     reported_at_ms: float | None
     health: float
-    setup_ms: float | None
-    quickest_check_ms: float | None
+    smoothed_setup_ms: float | None
+    min_health_check_ms: float | None
 
 
 @dataclass(slots=True, frozen=True)
@@ -194,7 +194,7 @@
 
     fleet_load: float | None  # mean load over capacity of all servers; none: nothing reported any
     load_per_weight: float | None  # load of all relays that fills a unit of listed weight
-    quickest_setup_ms: float | None  # shortest mean time that setting up a connection takes at a server
+    min_setup_ms: float | None  # shortest mean time that setting up a connection takes at a server
     timeout_fraction: float  # of the latest attempts
     servers: tuple[LearnedServerState, ...] = ()
     server_list: ServerListUpdate = field(default_factory=lambda: ServerListUpdate(ServerListKind.CACHED))
--- a/violetdoor/balancing/load_reports.py
+++ b/violetdoor/balancing/load_reports.py
@@ -34,7 +34,7 @@
         self.load = load
         self.health_checks = health_checks
         self.migration = migration
-        self.quickest_setup_ms = math.inf  # of all servers
+        self.min_setup_ms = math.inf  # of all servers
 
     def record(self, server: Server, values: Mapping[str, float]) -> None:
         """Take in a load report; `load` or else `util` is the server's load over capacity."""
@@ -58,14 +58,14 @@
         if request is None or request.server is None or settings.health_checks_report_load:
             return
         server = request.server
-        previous_ms = event.latency_ms if server.setup_ms is None else server.setup_ms
-        server.setup_ms = previous_ms + SETUP_SMOOTHING_FACTOR * (event.latency_ms - previous_ms)
-        self.quickest_setup_ms = min(self.quickest_setup_ms, server.setup_ms)
-        slow_ms = max(MIN_SLOW_SETUP_MS, SLOW_SETUP_FACTOR * self.quickest_setup_ms)
+        previous_ms = event.latency_ms if server.smoothed_setup_ms is None else server.smoothed_setup_ms
+        server.smoothed_setup_ms = previous_ms + SETUP_SMOOTHING_FACTOR * (event.latency_ms - previous_ms)
+        self.min_setup_ms = min(self.min_setup_ms, server.smoothed_setup_ms)
+        slow_ms = max(MIN_SLOW_SETUP_MS, SLOW_SETUP_FACTOR * self.min_setup_ms)
         if settings.health_checks_are_timed:
             if event.latency_ms > slow_ms:  # it may have been a pause: a reason to check, no more
                 self.health_checks.start(server)
-        elif server.setup_ms > slow_ms:
+        elif server.smoothed_setup_ms > slow_ms:
             server.load = OVERLOADED_LOAD
             server.reported_at_ms = self.context.now_ms
             self.migration.migrate(server, 1 - TARGET_LOAD / OVERLOADED_LOAD)
--- a/violetdoor/balancing/model.py
+++ b/violetdoor/balancing/model.py
@@ -44,8 +44,8 @@
     load: float | None = None  # load over capacity as reported, with what was sent since added
     reported_at_ms: float = -math.inf
     health: float = 1.0  # fraction of its turns that it gets
-    setup_ms: float | None = None  # smoothed time that setting up a connection takes there
-    quickest_check_ms: float = math.inf  # time of its quickest health check
+    smoothed_setup_ms: float | None = None  # smoothed time that setting up a connection takes there
+    min_health_check_ms: float = math.inf  # time of its quickest health check
     was_last_check_slow: bool = False
     slow_check_at_ms: float = -math.inf  # when its last slow health check ended
     message_delay_ms: float = 0.0  # time that a message took there when that was last measured
@@ -70,8 +70,8 @@
         self.load = None
         self.reported_at_ms = -math.inf
         self.health = 1.0
-        self.setup_ms = None
-        self.quickest_check_ms = math.inf
+        self.smoothed_setup_ms = None
+        self.min_health_check_ms = math.inf
         self.was_last_check_slow = False
         self.next_turn_at_ms = math.inf
 
--- a/violetdoor/balancing/placement.py
+++ b/violetdoor/balancing/placement.py
@@ -151,5 +151,5 @@
         if server.load is not None:
             server.load = self.load.projected(server, request.load)
         self.load.sent_load += request.load
-        give_up_at_ms = context.now_ms + max(MIN_ATTEMPT_MS, time_left_ms)
-        context.actions.append(StartAttempt(request.id, server.name, give_up_at_ms, request.start_by_ms))
+        timeout_at_ms = context.now_ms + max(MIN_ATTEMPT_MS, time_left_ms)
+        context.actions.append(StartAttempt(request.id, server.name, timeout_at_ms, request.start_by_ms))
--- a/violetdoor/balancing/platform_settings.py
+++ b/violetdoor/balancing/platform_settings.py
@@ -24,7 +24,7 @@
 REPORT_NAMES = {"active": "inflight", "waiting": "queue", "cpu": "util", "x0": "load", "x1": "backlog"}
 
 
-def settings_from(facts: dict[str, Any]) -> BalancerSettings:
+def parse_platform_settings(facts: dict[str, Any]) -> BalancerSettings:
     """Translate the platform's settings.
 
     KeyError, TypeError, ValueError or AttributeError where they don't have the platform's form.
@@ -82,7 +82,7 @@
         raise ValueError(message) from err
 
 
-def load_report_from(values: Any) -> dict[str, float]:
+def parse_load_report(values: Any) -> dict[str, float]:
     """Return the numbers of a load report under the decision module's names; empty where there is none."""
     if not isinstance(values, dict):
         return {}
--- a/violetdoor/balancing/server_list.py
+++ b/violetdoor/balancing/server_list.py
@@ -11,7 +11,7 @@
 from violetdoor.balancing.weighted_round_robin import WeightedRoundRobin
 
 SERVER_LIST_TIMER = "list"  # token of the timer of the next poll
-POLL_COST_MS = 125.0  # that one poll keeps a list service busy that answers a few a second
+POLL_SERVICE_TIME_MS = 125.0  # that one poll keeps a list service busy that answers a few a second
 MIN_BACKOFF_MS = 500.0  # before it is doubled for the first time
 
 
@@ -59,7 +59,7 @@
         """
         settings = self.context.settings
         longest_ms = min(settings.poll_deadline_ms / 2, event.next_poll_within_ms)
-        spread_ms = POLL_COST_MS * settings.relay_count
+        spread_ms = POLL_SERVICE_TIME_MS * settings.relay_count
         limit_ms = max(longest_ms / 2, min(longest_ms, spread_ms))
         backoff_ms = max(MIN_BACKOFF_MS, spread_ms) * 2**self._failed_polls
         wait_ms = min(limit_ms, backoff_ms) * self.context.random.random()
--- a/violetdoor/balancing/timed_health_checks.py
+++ b/violetdoor/balancing/timed_health_checks.py
@@ -30,7 +30,7 @@
     def finish(self, server: Server, latency_ms: float) -> None:
         """Derive a server's load from its check's time; a second check guards against short pauses."""
         context = self.context
-        server.quickest_check_ms = min(server.quickest_check_ms, latency_ms)
+        server.min_health_check_ms = min(server.min_health_check_ms, latency_ms)
         load = self._load_from_latency(server, latency_ms)
         if load < TARGET_LOAD:
             self.last_in_time_at_ms = context.now_ms
@@ -50,10 +50,10 @@
         """Return the load over capacity at which a queue of four cores makes a check wait as long."""
         entry = server.entry
         alike = [s for s in self.context.servers.values() if s.entry.machine_type == entry.machine_type]
-        quickest_in_zone_ms = min(s.quickest_check_ms for s in alike if s.entry.zone == entry.zone)
-        base_ms = min(server.quickest_check_ms, MACHINE_TYPE_SPREAD * quickest_in_zone_ms)
+        quickest_in_zone_ms = min(s.min_health_check_ms for s in alike if s.entry.zone == entry.zone)
+        base_ms = min(server.min_health_check_ms, MACHINE_TYPE_SPREAD * quickest_in_zone_ms)
         # Without the network's time to another zone.
-        idle_ms = min(base_ms, MACHINE_TYPE_SPREAD * min(s.quickest_check_ms for s in alike))
+        idle_ms = min(base_ms, MACHINE_TYPE_SPREAD * min(s.min_health_check_ms for s in alike))
         network_jitter_ms = NETWORK_JITTER_FRACTION * (base_ms - idle_ms)
         waiting = max(0.0, latency_ms - CHECK_JITTER_MS - base_ms - network_jitter_ms) / idle_ms
         return 2 * (math.sqrt(waiting * waiting + waiting) - waiting)
--- a/violetdoor/configuration/platform_config.py
+++ b/violetdoor/configuration/platform_config.py
@@ -9,7 +9,7 @@
 import msgspec
 import orjson
 
-from violetdoor.balancing.platform_settings import settings_from
+from violetdoor.balancing.platform_settings import parse_platform_settings
 from violetdoor.balancing.settings import BalancerSettings
 from violetdoor.configuration.errors import ConfigError, ConfigFileError, summarize
 from violetdoor.configuration.field_types import RawTable
@@ -133,7 +133,7 @@
 
 
 def _balancer_settings(facts: Facts, data: RawTable) -> BalancerSettings:
-    settings = settings_from(data)
+    settings = parse_platform_settings(data)
     # Guards against servers that look sound until they drop their clients: where nothing reports load, echoes
     # tell nothing of it either, unlike the simulator's notes. The time that a health check takes does.
     sends_health_checks = bool(facts.policy_limits.sends_health_checks)
--- a/violetdoor/core/controller.py
+++ b/violetdoor/core/controller.py
@@ -206,12 +206,12 @@
         effective = self.overrides.apply_to(entry)  # one whose ban was lifted has started since
         if self.overrides.has_reported_draining(effective):
             return
-        self.trust_self_reported_draining({server: effective.started_at_ms})
+        self.record_self_reported_draining({server: effective.started_at_ms})
         self._emit_endpoint(server)
         if not reported_by_peer:
             self.on_server_draining(server)
 
-    def trust_self_reported_draining(self, started_at_by_server: Mapping[str, float]) -> None:
+    def record_self_reported_draining(self, started_at_by_server: Mapping[str, float]) -> None:
         """Take servers as draining for the TTL, by the start of the process that said so."""
         self.overrides.self_reported_draining.update(started_at_by_server)
         for server, started_at in started_at_by_server.items():
@@ -304,7 +304,7 @@
             del self.established[request.server]
             self.unresponsive_servers.last_answer_at.pop(request.server, None)
 
-    def lowest_priority(self, candidates: Sequence[ClassifiedT], fraction: float) -> list[ClassifiedT]:
+    def select_lowest_priority(self, candidates: Sequence[ClassifiedT], fraction: float) -> list[ClassifiedT]:
         """Return this fraction, rounded up: those of the lowest priority weight, in the order given."""
         weights = {name: found.priority_weight for name, found in self.settings.classes.items()}
         ordered = sorted(candidates, key=lambda candidate: weights.get(candidate.request_class, 0.0))
--- a/violetdoor/fronts/line/attempt.py
+++ b/violetdoor/fronts/line/attempt.py
@@ -69,7 +69,7 @@
     ) -> AttemptResult:
         """Connect, exchange the first lines, close unless the server is up."""
         self.load_report = {}
-        time_left = (attempt.give_up_at_ms - self.front.core.now()) / 1000
+        time_left = (attempt.timeout_at_ms - self.front.core.now()) / 1000
         address = self.front.directory.addresses.get(attempt.server)
         if address is None or time_left <= 0:
             return AttemptResult.UNREACHABLE
@@ -98,7 +98,7 @@
         obstacle = self._obstacle(attempt, is_adoption=is_adoption)
         if obstacle is not None:
             return obstacle
-        time_left_ms = attempt.give_up_at_ms - self.front.core.now()
+        time_left_ms = attempt.timeout_at_ms - self.front.core.now()
         if time_left_ms <= 0:  # not a byte is sent
             return AttemptResult.UNREACHABLE
         try:
--- a/violetdoor/fronts/line/front.py
+++ b/violetdoor/fronts/line/front.py
@@ -94,7 +94,7 @@
     def relieve_memory(self, *, under_pressure: bool, migrate: bool) -> None:
         """Under memory pressure migrate some of the lowest priority; buffers are bounded as they are."""
         if under_pressure and migrate:
-            for handle in self.core.lowest_priority(self.migratable(), RELIEF_FRACTION):
+            for handle in self.core.select_lowest_priority(self.migratable(), RELIEF_FRACTION):
                 handle.migration_requested.set_result(None)
 
     def migratable(self) -> list[RequestHandle]:
--- a/violetdoor/fronts/nats/attempt.py
+++ b/violetdoor/fronts/nats/attempt.py
@@ -25,7 +25,7 @@
     """
     if client.is_disconnected:
         return AttemptResult.CANCELLED
-    time_left = (attempt.give_up_at_ms - front.core.now()) / 1000
+    time_left = (attempt.timeout_at_ms - front.core.now()) / 1000
     address = front.directory.addresses.get(attempt.server)
     if address is None or time_left <= 0:
         return AttemptResult.UNREACHABLE
@@ -53,7 +53,7 @@
     if not front.core.may_start(attempt):  # it came up late: this server gets no byte
         front.counts["begun_too_late"] += 1
         return AttemptResult.UNREACHABLE
-    time_left = (attempt.give_up_at_ms - front.core.now()) / 1000
+    time_left = (attempt.timeout_at_ms - front.core.now()) / 1000
     handshake = connection.handshake(client.upstream_connect, lambda: client.is_disconnected)
     try:
         async with asyncio.timeout(time_left):
--- a/violetdoor/fronts/nats/front.py
+++ b/violetdoor/fronts/nats/front.py
@@ -91,7 +91,7 @@
             out.max_bytes = min(out.max_bytes, RELIEF_MAX_PENDING_BYTES)
         if migrate:
             candidates = [s for s in longest if s.request_class and not s.end_requested.done()]
-            for session in self.core.lowest_priority(candidates, MIGRATION_FRACTION):
+            for session in self.core.select_lowest_priority(candidates, MIGRATION_FRACTION):
                 session.end_requested.set_result(None)
 
     def info(self, client_id: int) -> bytes:
--- a/violetdoor/net/server_list_service.py
+++ b/violetdoor/net/server_list_service.py
@@ -45,7 +45,7 @@
         """Start from all that the previous process knew."""
         core = self.core
         core.endpoints.known_names.update(snapshot.named)
-        core.trust_self_reported_draining(snapshot.draining)
+        core.record_self_reported_draining(snapshot.draining)
         entries = {endpoint.name: server_entry(endpoint) for endpoint in snapshot.entries}
         core.restore(learned_state(snapshot.knowledge), entries)
         self.directory.addresses = dict(snapshot.addresses)
--- a/violetdoor/simhost/host.py
+++ b/violetdoor/simhost/host.py
@@ -10,7 +10,7 @@
 from typing import Any, TextIO
 
 from violetdoor.balancing.balancer import Balancer
-from violetdoor.balancing.platform_settings import settings_from
+from violetdoor.balancing.platform_settings import parse_platform_settings
 from violetdoor.simhost.errors import (
     MalformedBatchError,
     MalformedMessageError,
@@ -74,7 +74,7 @@
 
     def _start(self, now_ms: float, instance: int, message: Message) -> None:
         try:
-            settings = settings_from(message[3])
+            settings = parse_platform_settings(message[3])
             seed = int(message[2])
         except (KeyError, IndexError, TypeError, ValueError, AttributeError) as err:
             raise UnreadableMessageError("NewInstance", err) from err
--- a/violetdoor/simhost/wire.py
+++ b/violetdoor/simhost/wire.py
@@ -37,7 +37,7 @@
     ServerState,
     TimerFired,
 )
-from violetdoor.balancing.platform_settings import load_report_from
+from violetdoor.balancing.platform_settings import parse_load_report
 from violetdoor.simhost.errors import ShortMessageError, UnknownMessageError, UnreadableMessageError
 
 Message = Sequence[Any]
@@ -137,13 +137,13 @@
         result=RESULTS[result],
         latency_ms=latency_ms,
         is_final=bool(is_final),
-        load_report=load_report_from(report),
+        load_report=parse_load_report(report),
     )
 
 
 def _health_check_ended(message: Message) -> Event:
     _, _, server, result, latency_ms, report = message[:6]
-    return HealthCheckEnded(server, RESULTS[result], latency_ms, load_report_from(report))
+    return HealthCheckEnded(server, RESULTS[result], latency_ms, parse_load_report(report))
 
 
 @dataclass(slots=True, frozen=True)
@@ -186,7 +186,7 @@
 
 
 def _start_attempt(instance: int, action: StartAttempt) -> list[Any]:
-    return ["PassOn", instance, action.request_id, action.give_up_at_ms, action.server]
+    return ["PassOn", instance, action.request_id, action.timeout_at_ms, action.server]
 
 
 def _reject(instance: int, action: Reject) -> list[Any]:
--- a/violetdoor/upgrade/balancer_state.py
+++ b/violetdoor/upgrade/balancer_state.py
@@ -41,15 +41,15 @@
             load=server.load,
             reported_at_ms=server.reported_at_ms,
             health=server.health,
-            setup_ms=server.setup_ms,
-            quickest_check_ms=server.quickest_check_ms,
+            smoothed_setup_ms=server.smoothed_setup_ms,
+            min_health_check_ms=server.min_health_check_ms,
         )
         for server in learned.servers
     )
     return LearnedSnapshot(
         fleet_load=learned.fleet_load,
         load_per_weight=learned.load_per_weight,
-        quickest_setup_ms=learned.quickest_setup_ms,
+        min_setup_ms=learned.min_setup_ms,
         timeout_fraction=learned.timeout_fraction,
         servers=servers,
     )
@@ -64,15 +64,15 @@
             load=server.load,
             reported_at_ms=server.reported_at_ms,
             health=server.health,
-            setup_ms=server.setup_ms,
-            quickest_check_ms=server.quickest_check_ms,
+            smoothed_setup_ms=server.smoothed_setup_ms,
+            min_health_check_ms=server.min_health_check_ms,
         )
         for server in snapshot.servers
     )
     return LearnedState(
         fleet_load=snapshot.fleet_load,
         load_per_weight=snapshot.load_per_weight,
-        quickest_setup_ms=snapshot.quickest_setup_ms,
+        min_setup_ms=snapshot.min_setup_ms,
         timeout_fraction=snapshot.timeout_fraction,
         servers=servers,
     )
--- a/violetdoor/upgrade/messages.py
+++ b/violetdoor/upgrade/messages.py
@@ -37,8 +37,8 @@
     load: float | None
     reported_at_ms: float | None = field(name="report_at")
     health: float
-    setup_ms: float | None = field(name="setup")
-    quickest_check_ms: float | None = field(name="quick")
+    smoothed_setup_ms: float | None = field(name="setup")
+    min_health_check_ms: float | None = field(name="quick")
 
 
 class RememberedList(Struct):
@@ -55,7 +55,7 @@
 
     fleet_load: float | None = field(name="fleet", default=None)
     load_per_weight: float | None = field(name="unit", default=None)
-    quickest_setup_ms: float | None = field(name="quickest", default=None)
+    min_setup_ms: float | None = field(name="quickest", default=None)
     timeout_fraction: float = field(name="late", default=0.0)
     servers: tuple[LearnedServerSnapshot, ...] = ()
     listed: RememberedList = field(default_factory=RememberedList)
