--- a/benchmarks/fleet_scale/hollow.py
+++ b/benchmarks/fleet_scale/hollow.py
@@ -54,7 +54,7 @@
     def counted(self, region: str) -> int:
         """How many live in another region, by its count."""
         count = self.attachment.membership.region_counts.get(region)
-        return 0 if count is None else sum(zone.alive for zone in count.zones)
+        return 0 if count is None else sum(zone.relay_count for zone in count.zones)
 
     @property
     def connection(self) -> Connection[SessionResponse] | None:
--- a/tests/recorded/control_samples.py
+++ b/tests/recorded/control_samples.py
@@ -44,7 +44,7 @@
     return c.RegionCount(
         region="region-b",
         version=version(10),
-        zones=(c.ZoneCount(zone="zone-x", alive=301), c.ZoneCount(zone="zone-y", alive=302)),
+        zones=(c.ZoneCount(zone="zone-x", relay_count=301), c.ZoneCount(zone="zone-y", relay_count=302)),
         age_seconds=4.5,
     )
 
@@ -57,7 +57,7 @@
         "part run": relay_key(),
         "part delta": delta(),
         "part delta, empty": c.Delta(base=version(1), version=version(2)),
-        "part zone": c.ZoneCount(zone="zone-z", alive=303),
+        "part zone": c.ZoneCount(zone="zone-z", relay_count=303),
         "part region": region_count(),
         "part departed run": tombstone(),
         "part region, short": c.RegionCount(region="region-b", version=version(), zones=()),
@@ -67,14 +67,14 @@
 def session_requests() -> dict[str, c.SessionRequest]:
     return {
         "session request 1": c.Attach(
-            protocol=401,
+            protocol_version=401,
             region="region-a",
             relay=relay(),
             attempt=402,
             known_version=version(),
             entries_digest=0xF1E2D3C4B5A69788,
         ),
-        "session request 1, short": c.Attach(protocol=1, region="a", relay=relay(), attempt=2),
+        "session request 1, short": c.Attach(protocol_version=1, region="a", relay=relay(), attempt=2),
         "session request 2": c.Heartbeat(number=403, applied_version=version()),
         "session request 2, none": c.Heartbeat(number=403, applied_version=None),
         "session request 3": c.PutEntries(entries=(entry(1), entry(2))),
@@ -82,27 +82,27 @@
         "session request 5": c.Lookup(number=404, key="user-1"),
         "session request 6": c.Resync(),
         "session request 7": c.Watch(
-            protocol=405,
+            protocol_version=405,
             region="region-c",
-            watcher="control-1",
+            watcher_name="control-1",
             watcher_region="region-d",
             known_version=version(),
             entries_digest=406,
         ),
         "session request 7, short": c.Watch(
-            protocol=1, region="region-c", watcher="control-1", watcher_region="region-d"
+            protocol_version=1, region="region-c", watcher_name="control-1", watcher_region="region-d"
         ),
     }
 
 
-def session_answers() -> dict[str, c.SessionResponse]:
+def session_responses() -> dict[str, c.SessionResponse]:
     refusals: dict[str, c.SessionResponse] = {
         f"session answer 2, {why}": c.Rejected(reason=why, retry_after_seconds=7.5)
         for why in get_args(c.RejectionReason)
     }
     return refusals | {
         "session answer 1": c.Welcome(
-            control="control-2",
+            control_name="control-2",
             region="region-e",
             regions=("region-f", "region-g"),
             heartbeat_interval_seconds=1.5,
@@ -111,7 +111,7 @@
         ),
         "session answer 2, short": c.Rejected(reason="busy"),
         "session answer 3": c.SnapshotChunk(
-            version=version(), number=501, count=502, members=(relay(), relay(1))
+            version=version(), number=501, chunk_count=502, members=(relay(), relay(1))
         ),
         "session answer 4": c.RosterDeltas(deltas=(delta(), delta(10))),
         "session answer 5": c.HeartbeatAck(
@@ -160,7 +160,7 @@
     return Tombstone(relay=relay_key(35), departed_version=version(36))
 
 
-def attachment_state() -> AttachmentSnapshot:
+def attachment_snapshot() -> AttachmentSnapshot:
     return AttachmentSnapshot(
         instance=701,
         attempt=702,
@@ -177,7 +177,7 @@
 
 def states() -> dict[str, Any]:
     return {
-        "hand-over": attachment_state(),
+        "hand-over": attachment_snapshot(),
         "hand-over, no roster": AttachmentSnapshot(
             instance=1,
             attempt=2,
--- a/tests/recorded/record_fleet.py
+++ b/tests/recorded/record_fleet.py
@@ -28,7 +28,7 @@
     client.nonce, server.nonce = fleet_samples.CLIENT_NONCE, fleet_samples.SERVER_NONCE
     assert list(client.feed(server.nonce)) == list(server.feed(client.nonce)) == []
     asked = [encode(one) for one in control_samples.session_requests().values()]
-    answered = [encode(one) for one in control_samples.session_answers().values()]
+    answered = [encode(one) for one in control_samples.session_responses().values()]
     return {
         "client": [client.nonce.hex(), *(client.frame(body).hex() for body in asked)],
         "server": [server.nonce.hex(), *(server.frame(body).hex() for body in answered)],
--- a/tests/recorded/wire_forms.py
+++ b/tests/recorded/wire_forms.py
@@ -34,7 +34,7 @@
     return [
         (control_samples.parts(), None),
         (control_samples.session_requests(), c.session_request_decoder),
-        (control_samples.session_answers(), c.session_response_decoder),
+        (control_samples.session_responses(), c.session_response_decoder),
         (control_samples.group_messages(), c.group_message_decoder),
         (control_samples.states(), None),
     ]
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -72,7 +72,7 @@
 def bodies() -> dict[Side, list[bytes]]:
     return {
         Side.CLIENT: [c.encode(one) for one in control_samples.session_requests().values()],
-        Side.SERVER: [c.encode(one) for one in control_samples.session_answers().values()],
+        Side.SERVER: [c.encode(one) for one in control_samples.session_responses().values()],
     }
 
 
@@ -114,7 +114,7 @@
 def test_service_hands_over_the_recorded_text() -> None:
     said: list[Message] = []
     service: Any = ControlService.__new__(ControlService)
-    service.client = SimpleNamespace(hand_over=control_samples.attachment_state)
+    service.client = SimpleNamespace(hand_over=control_samples.attachment_snapshot)
     service.host = SimpleNamespace(send_to_peer=said.append)
     service.on_successor_accepting()
     assert said == [ControlAttachment(handed_over_text())]
@@ -127,4 +127,4 @@
     service.handover_timer = None
     service.client = SimpleNamespace(is_open=False, start=started.append)
     service.on_message(ControlAttachment(handed_over_text()))
-    assert started == [control_samples.attachment_state()]
+    assert started == [control_samples.attachment_snapshot()]
--- a/violetdoor/cli/control.py
+++ b/violetdoor/cli/control.py
@@ -22,9 +22,9 @@
         return 0
     if path is None:
         fail("no file: give --config FILE, or a command: status")
-    from violetdoor.control.program import begin
+    from violetdoor.control.program import run_control_machine
 
-    return begin(path)
+    return run_control_machine(path)
 
 
 @control_group.command("status", epilog=STATUS)
--- a/violetdoor/control/actions.py
+++ b/violetdoor/control/actions.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MachinePlan:
+class MachineConfig:
     """What an operator configures of a control machine."""
 
     name: str
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CloseRegion:
+class DisconnectRegion:
     """Close the connection to another region; `region_lost` is not called for it."""
 
     region: str
@@ -101,7 +101,7 @@
     | SendToMember
     | ConnectRegion
     | SendToRegion
-    | CloseRegion
+    | DisconnectRegion
     | MergeEntries
     | EmitEvent
 )
--- a/violetdoor/control/admission.py
+++ b/violetdoor/control/admission.py
@@ -34,25 +34,25 @@
     """The conditions of a session at one control machine."""
 
     def __init__(self, context: MachineContext, replica: Replica, leases: LeaseGranter, now: float) -> None:
-        """Start with the full burst of attaches that the plan allows."""
+        """Start with the full burst of attaches that the configuration allows."""
         self.is_stopping = False
         self._context = context
         self._replica = replica
         self._leases = leases
-        limits = context.plan.limits
+        limits = context.config.limits
         self._bucket = TokenBucket(limits.attaches_per_second, limits.attach_burst, now)
 
     def reconfigure(self) -> None:
-        """Apply the rates of the context's new plan, from the next attach on."""
-        limits = self._context.plan.limits
+        """Apply the rates of the context's new configuration, from the next attach on."""
+        limits = self._context.config.limits
         self._bucket.rate = limits.attaches_per_second
         self._bucket.burst = limits.attach_burst
 
     def rejection(self, message: Attach | Watch, now: float) -> Rejected | None:
         """Return why this machine opens no session whoever requests it; None where it does."""
-        if message.protocol != PROTOCOL_VERSION:
+        if message.protocol_version != PROTOCOL_VERSION:
             return Rejected("version", FULL_RETRY_DELAY_SECONDS)
-        if message.region != self._context.plan.region:
+        if message.region != self._context.config.region:
             return Rejected("region", FULL_RETRY_DELAY_SECONDS)
         if self.is_stopping or not self._leases.may_act(now):
             return Rejected("not ready", NOT_READY_RETRY_DELAY_SECONDS)
--- a/violetdoor/control/config.py
+++ b/violetdoor/control/config.py
@@ -13,7 +13,7 @@
 from violetdoor.configuration.errors import ConfigError
 from violetdoor.configuration.files import describe_violations, read_table
 from violetdoor.configuration.validation import FieldViolation, form_violations
-from violetdoor.control.actions import MachineLimits, MachinePlan
+from violetdoor.control.actions import MachineConfig, MachineLimits
 from violetdoor.fleet.context import NodeConfig
 from violetdoor.net.addresses import Address, parse_address
 
@@ -31,7 +31,7 @@
     listen: Address  # of sessions
     console: Address | None
     key: Path
-    plan: MachinePlan
+    machine: MachineConfig
     group: NodeConfig
     group_listen: Address
     group_state: Path | None
@@ -42,9 +42,9 @@
         names = ("listen", "console", "key", "group", "group_listen", "group_state", "log")
         changed = [name for name in names if getattr(self, name) != getattr(new, name)]
         changed += [
-            name for name in ("name", "region") if getattr(self.plan, name) != getattr(new.plan, name)
+            name for name in ("name", "region") if getattr(self.machine, name) != getattr(new.machine, name)
         ]
-        if set(self.plan.regions) != set(new.plan.regions):
+        if set(self.machine.regions) != set(new.machine.regions):
             changed.append("names of regions")
         return changed
 
@@ -98,7 +98,7 @@
         listen=parse_address(control.listen),
         console=parse_address(control.console) if control.console else None,
         key=path.parent / control.key_file,
-        plan=MachinePlan(control.name, control.region, regions, limits),
+        machine=MachineConfig(control.name, control.region, regions, limits),
         group=NodeConfig(control.name, *group_address, control.zone, seeds, frozenset(group.founders)),
         group_listen=group_listen,
         group_state=path.parent / group.state_file if group.state_file else None,
--- a/violetdoor/control/context.py
+++ b/violetdoor/control/context.py
@@ -6,18 +6,18 @@
 from dataclasses import dataclass
 from random import Random
 
-from violetdoor.control.actions import Action, MachinePlan
+from violetdoor.control.actions import Action, MachineConfig
 from violetdoor.fleet.shared_map import SharedMap
 
 
 @dataclass(slots=True)
 class MachineContext:
-    """The plan and the surroundings of a control machine.
+    """The configuration and the surroundings of a control machine.
 
-    `plan` is replaced by the machine when it is reconfigured; nobody else writes here.
+    `config` is replaced by the machine when it is reconfigured; nobody else writes here.
     """
 
-    plan: MachinePlan
+    config: MachineConfig
     random: Random
-    shared: SharedMap  # the map of the group's node: read here, changed through `MergeEntries` alone
+    shared_map: SharedMap  # the map of the group's node: read here, changed through `MergeEntries` alone
     emit: Callable[[Action], None]  # adds an action for the driver
--- a/violetdoor/control/group_member.py
+++ b/violetdoor/control/group_member.py
@@ -62,7 +62,7 @@
     def _term_changed(self, state: GroupState, now: float) -> None:
         self.sequencer = None
         self._reports.resend_all(now)
-        name = self._context.plan.name
+        name = self._context.config.name
         if state.leader == name:
             self.sequencer = Sequencer(name, state, self._replica, now)
             self.sequencer.state_received(name, self._term_state(state), now)
@@ -198,7 +198,7 @@
 
     def _send(self, member: str, message: GroupMessage, now: float) -> None:
         """Send a message to a member of the group; one to this machine is handled at once."""
-        if member != self._context.plan.name:
+        if member != self._context.config.name:
             self._emit(SendToMember(member, message))
         elif self.state is not None:
             self._handle(member, message, self.state, now)
--- a/violetdoor/control/machine.py
+++ b/violetdoor/control/machine.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from violetdoor import events
-from violetdoor.control.actions import Action, EmitEvent, MachinePlan, MachineStatus
+from violetdoor.control.actions import Action, EmitEvent, MachineConfig, MachineStatus
 from violetdoor.control.context import MachineContext
 from violetdoor.control.group import GroupState
 from violetdoor.control.group_member import GroupMember
@@ -41,15 +41,15 @@
 class ControlMachine:
     """One control machine of one region's group."""
 
-    def __init__(self, plan: MachinePlan, random: Random, now: float, shared: SharedMap) -> None:
+    def __init__(self, config: MachineConfig, random: Random, now: float, shared_map: SharedMap) -> None:
         """Start outside of any view.
 
-        `shared` is the map of the group's node, which is read here; changes go through `MergeEntries`.
+        `shared_map` is the map of the group's node, which is read here; changes go through `MergeEntries`.
         """
         self.replica = Replica()
         self.leases = LeaseGranter(self.replica)
         self._actions: list[Action] = []
-        self._context = MachineContext(plan, random, shared, self._emit)
+        self._context = MachineContext(config, random, shared_map, self._emit)
         reports = SessionReports()
         self.sessions = Sessions(self._context, self.replica, reports, self.leases, now)
         self.regions = RegionFollowers(self._context, now)
@@ -71,7 +71,7 @@
         """Handle an accepted connection; `source` is the peer's address, for events."""
         self.sessions.opened(number, source, now)
 
-    def session_received(self, number: int, message: SessionRequest, now: float) -> None:
+    def session_message_received(self, number: int, message: SessionRequest, now: float) -> None:
         """Handle a message on a session."""
         session = self.sessions.by_number.get(number)
         if session is None:
@@ -104,7 +104,7 @@
         self._tick_at = min(self._tick_at, now)
         self._follow_up(now)
 
-    def group_received(self, member: str, message: GroupMessage, now: float) -> None:
+    def group_message_received(self, member: str, message: GroupMessage, now: float) -> None:
         """Handle a message of another member of the group."""
         if self.group is None or member not in self.group.members:
             return
@@ -118,7 +118,7 @@
         """Handle the connection that `ConnectRegion` requested."""
         self.regions.by_name[region].connected(now)
 
-    def region_received(self, region: str, message: SessionResponse, now: float) -> None:
+    def region_message_received(self, region: str, message: SessionResponse, now: float) -> None:
         """Handle a message on a connection to another region."""
         self.regions.by_name[region].received(message, now)
 
@@ -192,9 +192,9 @@
 
     # The driver.
 
-    def reconfigure(self, plan: MachinePlan) -> None:
+    def reconfigure(self, config: MachineConfig) -> None:
         """Apply other limits and addresses; the names of machine and regions are as before."""
-        self._context.plan = plan
+        self._context.config = config
         self.sessions.admission.reconfigure()
 
     def stop(self, now: float) -> None:
@@ -217,10 +217,10 @@
         group = self.group
         sequencer = self.member.sequencer
         roster = self.replica.roster
-        plan = self._context.plan
+        config = self._context.config
         return MachineStatus(
-            name=plan.name,
-            region=plan.region,
+            name=config.name,
+            region=config.region,
             leader=None if group is None else group.leader,
             is_leader=sequencer is not None and sequencer.may_write(now),
             may_act=self.leases.may_act(now),
--- a/violetdoor/control/messages.py
+++ b/violetdoor/control/messages.py
@@ -87,7 +87,7 @@
     """The number of relays of one zone in the roster."""
 
     zone: str
-    alive: int
+    relay_count: int
 
 
 class RegionCount(Struct, frozen=True, array_like=True):
@@ -105,7 +105,7 @@
 class Attach(Struct, frozen=True, array_like=True, tag=1):
     """Open a session of a relay. `attempt` counts the sessions of this instance: the newest one is valid."""
 
-    protocol: int
+    protocol_version: int
     region: str
     relay: Relay
     attempt: int
@@ -144,9 +144,9 @@
 class Watch(Struct, frozen=True, array_like=True, tag=7):
     """Open a session of another region's control machine, which watches this region's roster."""
 
-    protocol: int
+    protocol_version: int
     region: str  # that is to be watched
-    watcher: str  # name of the requesting control machine
+    watcher_name: str  # name of the requesting control machine
     watcher_region: str
     known_version: Version | None = None
     entries_digest: int = 0
@@ -161,7 +161,7 @@
 class Welcome(Struct, frozen=True, array_like=True, tag=1):
     """The session is open."""
 
-    control: str  # name of the control machine
+    control_name: str
     region: str
     regions: tuple[str, ...]  # all regions of the fleet, in the order of their names
     heartbeat_interval_seconds: float
@@ -182,11 +182,11 @@
 
 
 class SnapshotChunk(Struct, frozen=True, array_like=True, tag=3):
-    """A part of the complete roster at `version`; the last one has the `number` `count - 1`."""
+    """A part of the complete roster at `version`; the last one has the `number` `chunk_count - 1`."""
 
     version: Version
     number: int
-    count: int
+    chunk_count: int
     members: tuple[Relay, ...]
 
 
--- a/violetdoor/control/program.py
+++ b/violetdoor/control/program.py
@@ -69,8 +69,8 @@
         if self.console is not None:
             console_task = loop.create_task(self.console.run())
             log.info("console on %s:%d", *self.console.address)
-        log.info("group at %s:%d as %s", *self.server.fleet.address, self.config.plan.name)
-        log.info("sessions of region %s on %s:%d", self.config.plan.region, *self.server.address)
+        log.info("group at %s:%d as %s", *self.server.fleet.address, self.config.machine.name)
+        log.info("sessions of region %s on %s:%d", self.config.machine.region, *self.server.address)
         await self._stop.wait()
         log.info("serving -> draining")
         await self.server.shut_down()
@@ -87,7 +87,7 @@
         except KeyFileError as error:
             raise ConfigError(str(error)) from error
         fleet = FleetEndpoint(config.group, config.group_listen, key, config.group_state)
-        return ControlServer(config.plan, config.listen, key, fleet)
+        return ControlServer(config.machine, config.listen, key, fleet)
 
     def report(self) -> None:
         """Log the counters."""
@@ -106,7 +106,7 @@
             return
         self.counters["reloads"] += 1
         self.config = config
-        self.server.reconfigure(config.plan)
+        self.server.reconfigure(config.machine)
         log.info("reloaded: limits and addresses of regions are in force")
 
     def _reload_failed(self, error: ConfigError) -> None:
@@ -121,7 +121,7 @@
         return config
 
 
-def begin(path: Path) -> int:
+def run_control_machine(path: Path) -> int:
     """Run the control machine of a file until told to stop; return the exit status."""
 
     def start(output: LogOutput) -> None:
--- a/violetdoor/control/region_follower.py
+++ b/violetdoor/control/region_follower.py
@@ -9,8 +9,8 @@
 from violetdoor import events
 from violetdoor.control.actions import (
     Address,
-    CloseRegion,
     ConnectRegion,
+    DisconnectRegion,
     EmitEvent,
     MergeEntries,
     RegionStatus,
@@ -133,14 +133,14 @@
             return
         self.state = FollowerState.REQUESTED
         self._deadline_at = now + CONNECT_TIMEOUT_SECONDS
-        plan = self._context.plan
+        config = self._context.config
         watch = Watch(
-            protocol=PROTOCOL_VERSION,
+            protocol_version=PROTOCOL_VERSION,
             region=self.region,
-            watcher=plan.name,
-            watcher_region=plan.region,
+            watcher_name=config.name,
+            watcher_region=config.region,
             known_version=self.version,
-            entries_digest=self._context.shared.digest,
+            entries_digest=self._context.shared_map.digest,
         )
         self._emit(SendToRegion(self.region, watch))
 
@@ -207,7 +207,7 @@
         self._emit(SendToRegion(self.region, Resync()))
 
     def _close(self, reason: str, now: float) -> None:
-        self._emit(CloseRegion(self.region, reason))
+        self._emit(DisconnectRegion(self.region, reason))
         self._retry_later(now)
 
     def _retry_later(self, now: float) -> None:
@@ -252,7 +252,7 @@
 
     def _connect(self, now: float) -> None:
         if not self._addresses:
-            self._addresses = list(self._context.plan.regions[self.region])
+            self._addresses = list(self._context.config.regions[self.region])
             self._random.shuffle(self._addresses)
         self.state = FollowerState.CONNECTING
         self._deadline_at = now + CONNECT_TIMEOUT_SECONDS
--- a/violetdoor/control/region_link.py
+++ b/violetdoor/control/region_link.py
@@ -18,7 +18,7 @@
     def region_connected(self, region: str) -> None:
         """Handle a connection that was opened."""
 
-    def region_received(self, region: str, message: SessionResponse) -> None:
+    def region_message_received(self, region: str, message: SessionResponse) -> None:
         """Handle a message of the other region's control machine."""
 
     def region_lost(self, region: str) -> None:
@@ -46,7 +46,7 @@
 
     def message_received(self, _connection: Connection[SessionResponse], message: SessionResponse) -> None:
         """Pass it on."""
-        self._handler.region_received(self.region, message)
+        self._handler.region_message_received(self.region, message)
 
     def backlog_changed(self, _connection: Connection[SessionResponse], queued_bytes: int) -> None:
         """Ignore it: little is sent here, and a machine that reads nothing sends nothing either."""
--- a/violetdoor/control/regions.py
+++ b/violetdoor/control/regions.py
@@ -20,12 +20,12 @@
     """The followers of all other regions."""
 
     def __init__(self, context: MachineContext, now: float) -> None:
-        """Start to follow all regions of the plan but the machine's own, in the order of their names."""
-        plan = context.plan
+        """Start to follow all configured regions but the machine's own, in the order of their names."""
+        config = context.config
         self.by_name = {
             region: RegionFollower(context, region, now)
-            for region in sorted(plan.regions)
-            if region != plan.region
+            for region in sorted(config.regions)
+            if region != config.region
         }
         self._send_counts_at = now
 
--- a/violetdoor/control/relay/attachment.py
+++ b/violetdoor/control/relay/attachment.py
@@ -146,7 +146,7 @@
         self._rejection_reason = None
         self._selector.session_opened(now)
         self._session.open(welcome, now)
-        self._actions.emit(events.ATTACH_SESSION_OPENED, control=welcome.control, attempt=self.attempt)
+        self._actions.emit(events.ATTACH_SESSION_OPENED, control=welcome.control_name, attempt=self.attempt)
 
     def _handle_go_away(self, message: GoAway, now: float) -> None:
         self.counters["sent_away"] += 1
--- a/violetdoor/control/relay/membership.py
+++ b/violetdoor/control/relay/membership.py
@@ -98,5 +98,5 @@
 
 
 def _member_counts(zones: Iterable[ZoneCount], age_seconds: float) -> RegionMemberCounts:
-    by_zone = {zone.zone: zone.alive for zone in zones}
+    by_zone = {zone.zone: zone.relay_count for zone in zones}
     return RegionMemberCounts(sum(by_zone.values()), by_zone, round(max(0.0, age_seconds), 3))
--- a/violetdoor/control/relay/session.py
+++ b/violetdoor/control/relay/session.py
@@ -86,7 +86,7 @@
 
     def open(self, welcome: Welcome, now: float) -> None:
         """Begin the session with what was not confirmed in the one before, and a heartbeat."""
-        self.control_name = welcome.control
+        self.control_name = welcome.control_name
         self.last_received_at = now
         self._last_leased_at = now
         self._heartbeat_interval_seconds = welcome.heartbeat_interval_seconds
--- a/violetdoor/control/roster.py
+++ b/violetdoor/control/roster.py
@@ -123,13 +123,13 @@
             self._members = []
             self._next_number = 0
         follows = chunk.version == self._version and chunk.number == self._next_number
-        if not follows or chunk.count <= chunk.number:
+        if not follows or chunk.chunk_count <= chunk.number:
             raise ChunkOrderError(chunk, self._next_number)
         self._next_number += 1
         self._members += chunk.members
         if len(self._members) > MAX_ROSTER_MEMBERS:
             raise SnapshotSizeError(len(self._members))
-        if self._next_number < chunk.count:
+        if self._next_number < chunk.chunk_count:
             return None
         roster = Roster(chunk.version, self._members)
         self._version = None
--- a/violetdoor/control/server.py
+++ b/violetdoor/control/server.py
@@ -21,11 +21,11 @@
 from violetdoor.control.acceptor import MAX_HANDSHAKES, Acceptor
 from violetdoor.control.actions import (
     Action,
-    CloseRegion,
     CloseSession,
     ConnectRegion,
+    DisconnectRegion,
     EmitEvent,
-    MachinePlan,
+    MachineConfig,
     MergeEntries,
     SendToMember,
     SendToRegion,
@@ -67,9 +67,9 @@
 class ControlServer:
     """One control machine on real sockets: it drives a `ControlMachine`."""
 
-    def __init__(self, plan: MachinePlan, bind: Address, key: bytes, fleet: FleetEndpoint) -> None:
+    def __init__(self, config: MachineConfig, bind: Address, key: bytes, fleet: FleetEndpoint) -> None:
         """Prepare to serve sessions on `bind`; `fleet` is the endpoint of the group, not started yet."""
-        self.plan = plan
+        self.config = config
         self.bind = bind
         self.address = bind  # where sessions are served, once started
         self.fleet = fleet
@@ -101,7 +101,7 @@
             self.fleet.start()
             on_failure.pop_all()
         random = Random(os.urandom(RANDOM_SEED_BYTES))
-        self.machine = ControlMachine(self.plan, random, self.clock(), self.fleet.node.map)
+        self.machine = ControlMachine(self.config, random, self.clock(), self.fleet.node.map)
         self.streams = StreamChannel(self.fleet, CHANNEL, self._group_data_received)
         self.fleet.on_step = self._group_stepped
         self.fleet.entry_listeners.append(self._entry_changed)
@@ -138,16 +138,16 @@
                 return
             await asyncio.sleep(min(SHUTDOWN_POLL_SECONDS, remaining))
 
-    def reconfigure(self, plan: MachinePlan) -> None:
-        """Apply a plan with the same names, and other limits or addresses of other regions."""
-        self.plan = plan
-        self.machine.reconfigure(plan)
+    def reconfigure(self, config: MachineConfig) -> None:
+        """Apply a configuration with the same names, and other limits or addresses of other regions."""
+        self.config = config
+        self.machine.reconfigure(config)
         self._step()
 
     # Sessions: this is the handler of their connections.
 
     def _is_full(self) -> bool:
-        return len(self.sessions) >= self.plan.limits.max_sessions + MAX_HANDSHAKES
+        return len(self.sessions) >= self.config.limits.max_sessions + MAX_HANDSHAKES
 
     def connection_opened(self, connection: Connection[SessionRequest]) -> None:
         """Open a session: the peer has sent its first sealed frame."""
@@ -164,7 +164,7 @@
         if number is None:
             return  # the machine has closed it
         self._update_group()
-        self.machine.session_received(number, message, self.clock())
+        self.machine.session_message_received(number, message, self.clock())
         self._step()
 
     def backlog_changed(self, connection: Connection[SessionRequest], queued_bytes: int) -> None:
@@ -210,7 +210,7 @@
             return
         if self._is_open:
             self._update_group()
-            self.machine.group_received(member, message, self.clock())
+            self.machine.group_message_received(member, message, self.clock())
             self._step()
 
     def _entry_changed(self, key: str, _value: float | None) -> None:
@@ -227,10 +227,10 @@
             self.machine.region_connected(region, self.clock())
             self._step()
 
-    def region_received(self, region: str, message: SessionResponse) -> None:
+    def region_message_received(self, region: str, message: SessionResponse) -> None:
         """Pass it on."""
         if self._is_open:
-            self.machine.region_received(region, message, self.clock())
+            self.machine.region_message_received(region, message, self.clock())
             self._step()
 
     def region_lost(self, region: str) -> None:
@@ -283,21 +283,21 @@
             case SendToMember(member, group_message):
                 if not self.streams.send(member, encode(group_message)):
                     self.counters["group_unsent"] += 1
-            case ConnectRegion() | SendToRegion() | CloseRegion():
+            case ConnectRegion() | SendToRegion() | DisconnectRegion():
                 self._carry_out_at_region(action)
             case MergeEntries(entries):
                 self.fleet.merge_entries(entries)
             case EmitEvent(name, values):
                 events.emit(log, name, **values)
 
-    def _carry_out_at_region(self, action: ConnectRegion | SendToRegion | CloseRegion) -> None:
+    def _carry_out_at_region(self, action: ConnectRegion | SendToRegion | DisconnectRegion) -> None:
         dialer = self._link(action.region).dialer
         match action:
             case ConnectRegion(_, address):
                 dialer.dial(address)
             case SendToRegion(_, request):
                 dialer.send(request)
-            case CloseRegion():
+            case DisconnectRegion():
                 dialer.close()
 
     def _close_session(self, session: int, reason: str) -> None:
--- a/violetdoor/control/session.py
+++ b/violetdoor/control/session.py
@@ -17,7 +17,7 @@
     last_received_at: float
     relay: Relay | None = None
     attempt: int = 0
-    watcher: str | None = None  # name of the control machine that watches this region
+    watcher_name: str | None = None  # name of the control machine that watches this region
     sent_version: Version | None = None  # the roster that the peer has once it has read everything
     attached_version: Version | None = None  # the roster that it had before
     in_flight_versions: deque[Version] = field(default_factory=deque)  # sent, and not acknowledged
@@ -27,7 +27,7 @@
     @property
     def is_open(self) -> bool:
         """Whether the peer was welcomed."""
-        return self.relay is not None or self.watcher is not None
+        return self.relay is not None or self.watcher_name is not None
 
     def acknowledge(self, version: Version | None) -> None:
         """Note that the peer has applied all rosters up to `version`."""
--- a/violetdoor/control/session_requests.py
+++ b/violetdoor/control/session_requests.py
@@ -75,7 +75,7 @@
         newer: list[MapEntry] = []
         outdated: list[MapEntry] = []
         for entry in message.entries:
-            current = self._context.shared.entries.get(entry.key)
+            current = self._context.shared_map.entries.get(entry.key)
             if current is None or current.timestamp < entry.timestamp:
                 newer.append(entry)
             elif current.timestamp > entry.timestamp:
@@ -86,9 +86,9 @@
             self._sessions.send(session, Entries(tuple(outdated)))
 
     def _look_up(self, message: Lookup) -> LookupResponse:
-        plan = self._context.plan
-        region = home_region(message.key, plan.regions)
-        if region != plan.region:
+        config = self._context.config
+        region = home_region(message.key, config.regions)
+        if region != config.region:
             return LookupResponse(message.number, region, self._regions.owner(region, message.key))
         roster = self._replica.roster
         owner = None if roster is None else roster.owner(message.key)
--- a/violetdoor/control/sessions.py
+++ b/violetdoor/control/sessions.py
@@ -87,7 +87,7 @@
         """Handle an accepted connection."""
         session = Session(number, source, now)
         self.by_number[number] = session
-        if len(self.by_number) > self._context.plan.limits.max_sessions:
+        if len(self.by_number) > self._context.config.limits.max_sessions:
             self._reject(session, "full", FULL_RETRY_DELAY_SECONDS)
 
     def attach(self, session: Session, message: Attach, counts: Iterable[RegionCount], now: float) -> None:
@@ -124,7 +124,7 @@
         if rejection is not None:
             self._reject(session, rejection.reason, rejection.retry_after_seconds)
             return
-        session.watcher = message.watcher
+        session.watcher_name = message.watcher_name
         self.watcher_count += 1
         self.counters["watched"] += 1
         self._welcome(session, message, now)
@@ -143,22 +143,22 @@
         session.last_received_at = now
         session.sent_version = message.known_version
         session.attached_version = message.known_version
-        plan = self._context.plan
+        config = self._context.config
         welcome = Welcome(
-            control=plan.name,
-            region=plan.region,
-            regions=tuple(sorted(plan.regions)),
+            control_name=config.name,
+            region=config.region,
+            regions=tuple(sorted(config.regions)),
             heartbeat_interval_seconds=HEARTBEAT_INTERVAL_SECONDS,
             idle_timeout_seconds=RELAY_IDLE_TIMEOUT_SECONDS,
             lease_seconds=LEASE_SECONDS,
         )
         self.send(session, welcome)
         self._send_roster(session, {}, now)
-        if message.entries_digest != self._context.shared.digest:
+        if message.entries_digest != self._context.shared_map.digest:
             self._send_complete_map(session)
 
     def _send_complete_map(self, session: Session) -> None:
-        entries = tuple(self._context.shared.entries.values())
+        entries = tuple(self._context.shared_map.entries.values())
         groups = _split_entries(entries) or [()]
         for group in groups[:-1]:
             self.send(session, Entries(group))
@@ -248,7 +248,7 @@
     def backlog_changed(self, session: Session, queued_bytes: int, now: float) -> None:
         """Handle a change of what is queued for the peer; drop it where that is too much."""
         session.backlog_bytes = queued_bytes
-        if queued_bytes > self._context.plan.limits.max_backlog_bytes:
+        if queued_bytes > self._context.config.limits.max_backlog_bytes:
             self.drop(session, "slow", now)
 
     def drop(self, session: Session, reason: str, now: float) -> None:
@@ -297,7 +297,7 @@
     def _remove(self, session: Session) -> None:
         if self.by_number.pop(session.number, None) is None:
             return
-        if session.watcher is not None:
+        if session.watcher_name is not None:
             self.watcher_count -= 1
         if session.relay is not None and self.by_name.get(session.relay.name) is session:
             del self.by_name[session.relay.name]
--- a/violetdoor/faults/control_world.py
+++ b/violetdoor/faults/control_world.py
@@ -125,7 +125,7 @@
             region: tuple((self.host(one).address[0], CONTROL_PORT) for one in names)
             for region, names in self.groups.items()
         }
-        plan = act.MachinePlan(name, control.region, regions, self.limits)
+        plan = act.MachineConfig(name, control.region, regions, self.limits)
         control.machine = ControlMachine(plan, self._random(), self.clock(control.host), node.map)
         self.carry_out_actions(control.host)
 
@@ -249,7 +249,7 @@
             case act.SendToRegion(region, message):
                 if (connection := control.following.get(region)) is not None:
                     self._write(connection, connection.to_server, message)
-            case act.CloseRegion(region):
+            case act.DisconnectRegion(region):
                 if (connection := control.following.pop(region, None)) is not None:
                     self._write(connection, connection.to_server, CLOSED)
             case act.MergeEntries(entries):
@@ -280,7 +280,7 @@
         if to.host.stopped:
             self._push(self.now + LOOK_AGAIN, self._group_arrives, source, to, life, message)
             return
-        to.machine.group_received(source, message, self.clock(to.host))
+        to.machine.group_message_received(source, message, self.clock(to.host))
         self._act_control(to)
 
     def _delay(self, source: str, to: str) -> float | None:
@@ -478,7 +478,7 @@
             del server.accepted[number]
             server.machine.session_closed(number, now)
         else:
-            server.machine.session_received(number, message, now)
+            server.machine.session_message_received(number, message, now)
         self._act_control(server)
 
     def _client_reads(self, connection: Connection, message: Any) -> None:
@@ -508,7 +508,7 @@
             del control.following[region]
             machine.region_lost(region, now)
         else:
-            machine.region_received(region, message, now)  # type: ignore[arg-type]
+            machine.region_message_received(region, message, now)  # type: ignore[arg-type]
         self._act_control(control)
 
     # What is seen of it all.
