--- a/tests/test_control_process.py
+++ b/tests/test_control_process.py
@@ -229,7 +229,7 @@
         path.write_text(broken)
         await reload("reload failed")
     site.region.write_machine_file(name, limits={"sessions": 1})
-    await reload("limits and addresses of regions are in force")
+    await reload("limits and addresses of regions are in effect")
 
 
 async def check_fleet_commands(relay: Relay) -> None:
--- a/violetdoor/control/config.py
+++ b/violetdoor/control/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a control machine: its file, translated once into the few values that it uses."""
+"""The configuration of a control machine: its file is read, validated and converted once."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from violetdoor.fleet.context import NodeConfig
 from violetdoor.net.addresses import Address, parse_address
 
-# Violations that the one line of an error names.
+# Maximum number of violations listed in the one-line error message.
 MAX_VIOLATIONS_SHOWN = 3
 
 
 @dataclass(slots=True, frozen=True)
 class ControlConfig:
-    """What one control machine is started with.
+    """The complete configuration of one control machine process.
 
-    The names of the fields stand in the error of a reload that changes one of them.
+    The error message of a reload that requires a restart lists the names of these fields.
     """
 
-    listen: Address  # of sessions
+    listen: Address  # where sessions are accepted
     console: Address | None
     key: Path
     machine: MachineConfig
@@ -37,21 +37,21 @@
     group_state: Path | None
     log: str  # "text" or "json"
 
-    def fixed_changes(self, new: ControlConfig) -> list[str]:
-        """Return the names of what a newer configuration changes although it takes a restart."""
+    def changes_needing_restart(self, new: ControlConfig) -> list[str]:
+        """Return the names of the changed settings that only take effect after a restart."""
         names = ("listen", "console", "key", "group", "group_listen", "group_state", "log")
         changed = [name for name in names if getattr(self, name) != getattr(new, name)]
         changed += [
             name for name in ("name", "region") if getattr(self.machine, name) != getattr(new.machine, name)
         ]
         if set(self.machine.regions) != set(new.machine.regions):
-            changed.append("names of regions")
+            changed.append("region names")
         return changed
 
 
 @dataclass(slots=True, frozen=True)
 class ValidatedFile:
-    """A control machine's file in its form, which is None where there are violations."""
+    """The form of a control machine's file, None if there are violations, and the violations."""
 
     form: ControlFile | None
     violations: list[FieldViolation]
@@ -60,7 +60,7 @@
 def read_config(path: Path) -> ControlConfig:
     """Read a control machine's file.
 
-    Raises ConfigError, with file, line and field, where the file can't be read or is not valid.
+    Raises ConfigError, which names file, line and field, if the file can't be read or is not valid.
     """
     validated = validate(read_table(path))
     if validated.form is None:
@@ -69,11 +69,11 @@
         if len(lines) > MAX_VIOLATIONS_SHOWN:
             shown.append(f"and {len(lines) - MAX_VIOLATIONS_SHOWN} more")
         raise ConfigError("; ".join(shown))
-    return _translate(validated.form, path)
+    return _to_config(validated.form, path)
 
 
 def validate(data: dict[str, Any]) -> ValidatedFile:
-    """Check the data of a control machine's file, and return its form or all its violations."""
+    """Validate the data of a control machine's file; return its form or all violations."""
     try:
         form = msgspec.convert(data, ControlFile)
     except msgspec.ValidationError as error:
@@ -83,8 +83,8 @@
     return ValidatedFile(None if found else form, found)
 
 
-def _translate(form: ControlFile, path: Path) -> ControlConfig:
-    """Return the values of a valid file; paths in it are relative to its folder."""
+def _to_config(form: ControlFile, path: Path) -> ControlConfig:
+    """Convert a valid form to the configuration; paths in the file are relative to its folder."""
     control = form.control
     group = form.control.group
     group_listen = parse_address(group.listen)
--- a/violetdoor/control/console.py
+++ b/violetdoor/control/console.py
@@ -1,4 +1,4 @@
-"""The console calls of a control machine: health, statsd text, status, and forcing a new epoch."""
+"""The console calls of a control machine: health check, statistics, status, and forcing a new epoch."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class ControlConsole:
-    """Answers operators' calls on one control machine."""
+    """Answers the console calls of operators."""
 
     def __init__(self, server: ControlServer) -> None:
-        """Answer calls on a server that is started."""
+        """Answer calls about a server that has been started."""
         self._server = server
 
     def answer(self, method: str, path: str) -> Answer:
-        """Carry out one call, and return its status and text."""
+        """Carry out one call, and return its HTTP status and text."""
         match method, path.split("/")[1:]:
             case "GET", ["healthcheck"]:
                 return self._health()
@@ -34,7 +34,7 @@
         return Answer(HTTPStatus.NOT_FOUND, "no such call\n")
 
     def gauges(self) -> Mapping[str, int]:
-        """Return the gauges of this moment by their statsd names."""
+        """Return the present gauges by their statsd names."""
         status = self._server.machine.status(self._server.clock())
         return {
             "control_sessions": status.session_count,
@@ -61,4 +61,4 @@
             self._server.fleet.force_epoch()
         except ForceRefusedError as error:
             return Answer(HTTPStatus.CONFLICT, f"refused: {error}\n")
-        return Answer(HTTPStatus.OK, "asked those that are reached to go on\n")
+        return Answer(HTTPStatus.OK, "requested a new epoch from the reachable members\n")
--- a/violetdoor/control/program.py
+++ b/violetdoor/control/program.py
@@ -1,4 +1,4 @@
-"""A control machine as a program: it has no front, accepts no clients, and runs beside no relay."""
+"""A control machine as a program: it has no front, accepts no clients, and runs without a relay."""
 
 from __future__ import annotations
 
@@ -26,35 +26,35 @@
 
 
 class RestartRequiredError(ConfigError):
-    """A reload changes what takes a restart; `names` are the fields."""
+    """A reloaded configuration changes settings that require a restart; `names` lists them."""
 
     def __init__(self, names: list[str]) -> None:
-        """Name the fields as in `ControlConfig`."""
-        super().__init__(f"what is changed takes a restart: {', '.join(names)}")
+        """Name the changed settings as `ControlConfig.changes_needing_restart` does."""
+        super().__init__(f"the changed settings require a restart: {', '.join(names)}")
         self.names = names
 
 
 class ControlProgram:
-    """One control machine, from start to exit."""
+    """A control machine process, from start to exit."""
 
     def __init__(
-        self, config: ControlConfig, reread: Callable[[], ControlConfig], limit: RepeatedLineFilter
+        self, config: ControlConfig, read_again: Callable[[], ControlConfig], log_filter: RepeatedLineFilter
     ) -> None:
-        """Prepare to run by `config`; `reread` reads it again, and `limit` is the log's."""
+        """Prepare to run; `read_again` reads the file again, and `log_filter` drops repeated log lines."""
         self.config = config
-        self.reread = reread
-        self.limit = limit
+        self.read_again = read_again
+        self.log_filter = log_filter
         self.counters = Counters()
         self.server: ControlServer
         self.console: ConsoleServer | None = None
         self._stop = asyncio.Event()
 
     async def run(self) -> None:
-        """Start, serve until SIGTERM or SIGINT, and shut down gracefully. Raises ConfigError and OSError."""
+        """Start, serve until SIGTERM or SIGINT, and shut down gracefully. Raises ConfigError or OSError."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
-        loop.add_signal_handler(signal.SIGUSR1, self.report)
+        loop.add_signal_handler(signal.SIGUSR1, self.log_counters)
         self.server = self._make_server()
         if self.config.console is not None:
             calls = ControlConsole(self.server)
@@ -68,9 +68,9 @@
         console_task: asyncio.Task[None] | None = None
         if self.console is not None:
             console_task = loop.create_task(self.console.run())
-            log.info("console on %s:%d", *self.console.address)
-        log.info("group at %s:%d as %s", *self.server.fleet.address, self.config.machine.name)
-        log.info("sessions of region %s on %s:%d", self.config.machine.region, *self.server.address)
+            log.info("console listening on %s:%d", *self.console.address)
+        log.info("group member on %s:%d, name %s", *self.server.fleet.address, self.config.machine.name)
+        log.info("accepting sessions of region %s on %s:%d", self.config.machine.region, *self.server.address)
         await self._stop.wait()
         log.info("serving -> draining")
         await self.server.shut_down()
@@ -78,7 +78,7 @@
             console_task.cancel()
             await self.console.close()
         log.info("draining -> stopped")
-        self.report()
+        self.log_counters()
 
     def _make_server(self) -> ControlServer:
         config = self.config
@@ -89,40 +89,40 @@
         fleet = FleetEndpoint(config.group, config.group_listen, key, config.group_state)
         return ControlServer(config.machine, config.listen, key, fleet)
 
-    def report(self) -> None:
+    def log_counters(self) -> None:
         """Log the counters."""
-        if self.limit.suppressed:
-            self.counters["log_lines_left_out"] = self.limit.suppressed
+        if self.log_filter.suppressed:
+            self.counters["log_lines_left_out"] = self.log_filter.suppressed
         counters = self.server.counters.items()
         self.counters.update({name.replace(" ", "_"): count for name, count in counters})
         log.info("counters: %s", self.counters.format_line())
 
     def reload(self) -> None:
-        """Read the file again, and apply limits and addresses of regions; where it has faults, nothing."""
+        """Read the file again, and apply limits and region addresses; an invalid file changes nothing."""
         try:
-            config = self._reread()
+            config = self._read_reloadable_config()
         except ConfigError as error:
             self._reload_failed(error)
             return
         self.counters["reloads"] += 1
         self.config = config
         self.server.reconfigure(config.machine)
-        log.info("reloaded: limits and addresses of regions are in force")
+        log.info("reloaded: limits and addresses of regions are in effect")
 
     def _reload_failed(self, error: ConfigError) -> None:
         self.counters["reload_failed"] += 1
-        log.error("reload failed, the old values stay: %s", error)
+        log.error("reload failed, the current configuration stays in effect: %s", error)
 
-    def _reread(self) -> ControlConfig:
-        config = self.reread()
-        fixed = self.config.fixed_changes(config)
-        if fixed:
-            raise RestartRequiredError(fixed)
+    def _read_reloadable_config(self) -> ControlConfig:
+        config = self.read_again()
+        changed = self.config.changes_needing_restart(config)
+        if changed:
+            raise RestartRequiredError(changed)
         return config
 
 
 def run_control_machine(path: Path) -> int:
-    """Run the control machine of a file until told to stop; return the exit status."""
+    """Run the control machine that a file configures until a signal stops it; return the exit status."""
 
     def start(output: LogOutput) -> None:
         config = read_config(path)
