--- a/violetdoor/control/program.py
+++ b/violetdoor/control/program.py
@@ -68,7 +68,7 @@
         console_task: asyncio.Task[None] | None = None
         if self.console is not None:
             console_task = loop.create_task(self.console.run())
-            log.info("console listening on %s:%d", *self.console.address)
+            log.info("console on %s:%d", *self.console.address)
         log.info("group member on %s:%d, name %s", *self.server.fleet.address, self.config.machine.name)
         log.info("accepting sessions of region %s on %s:%d", self.config.machine.region, *self.server.address)
         await self._stop.wait()
