--- a/violetdoor/control/console.py
+++ b/violetdoor/control/console.py
@@ -61,4 +61,4 @@
             self._server.fleet.force_epoch()
         except ForceRefusedError as error:
             return Answer(HTTPStatus.CONFLICT, f"refused: {error}\n")
-        return Answer(HTTPStatus.OK, "requested a new epoch from the reachable members\n")
+        return Answer(HTTPStatus.OK, "asked those that are reached to go on\n")
