--- a/tests/recorded/fleet_samples.py
+++ b/tests/recorded/fleet_samples.py
@@ -104,9 +104,11 @@
         "datagram 2, short": m.Ack(seq=703),
         "datagram 3": m.PingRequest(seq=705, target="relay-4"),
         "datagram 4": m.Nack(seq=706),
-        "datagram 10": m.PreVoteRequest(base=base(), number=707, change=change(), ended=(13, 17)),
-        "datagram 10, short": m.PreVoteRequest(base=base(), number=707, change=change()),
-        "datagram 11": m.PreVoteResponse(base=base(), number=708, alive=(1, 4)),
+        "datagram 10": m.PreVoteRequest(
+            base=base(), pre_vote_number=707, change=change(), ended_indexes=(13, 17)
+        ),
+        "datagram 10, short": m.PreVoteRequest(base=base(), pre_vote_number=707, change=change()),
+        "datagram 11": m.PreVoteResponse(base=base(), pre_vote_number=708, alive_indexes=(1, 4)),
         "datagram 12": m.Prepare(base=base(), ballot=709),
         "datagram 13": m.Promise(base=base(), ballot=710, accepted_ballot=711, accepted_change=change()),
         "datagram 13, none": m.Promise(base=base(), ballot=710, accepted_ballot=-1, accepted_change=None),
--- a/violetdoor/fleet/agreement.py
+++ b/violetdoor/fleet/agreement.py
@@ -241,18 +241,18 @@
                 self.proposal = None
 
     def _handle_pre_vote_request(self, sender: int, request: PreVoteRequest, alive: set[int]) -> None:
-        doubted = set(request.change.dead) - set(request.ended)
+        doubted = set(request.change.dead) - set(request.ended_indexes)
         heard = tuple(sorted(doubted & alive))
-        self.outgoing.append(Outgoing(sender, PreVoteResponse(self.view.id, request.number, heard)))
+        self.outgoing.append(Outgoing(sender, PreVoteResponse(self.view.id, request.pre_vote_number, heard)))
 
     def _handle_pre_vote_response(self, sender: int, response: PreVoteResponse, now: float) -> None:
         proposal = self.proposal
         if proposal is None or proposal.phase is not Phase.PRE_VOTE:
             return
-        if response.number != self.pre_vote_number:
+        if response.pre_vote_number != self.pre_vote_number:
             return
-        proposal.reported_alive |= set(response.alive)
-        if not response.alive:
+        proposal.reported_alive |= set(response.alive_indexes)
+        if not response.alive_indexes:
             self._add_voter(proposal, sender, now)
 
     def _handle_prepare(self, sender: int, prepare: Prepare, now: float) -> None:
--- a/violetdoor/fleet/context.py
+++ b/violetdoor/fleet/context.py
@@ -92,7 +92,7 @@
 
     def adopt_identity(self, peer: Peer) -> None:
         """Be this instance from now on."""
-        self.local_peer = self.detector.me = peer
+        self.local_peer = self.detector.local_peer = peer
 
     def wake_by(self, latest: float) -> None:
         """Wake the node at this time at the latest."""
--- a/violetdoor/fleet/failure_detector.py
+++ b/violetdoor/fleet/failure_detector.py
@@ -68,9 +68,9 @@
     The caller sends `outgoing` and `tcp_probes`, and clears these, `death_proofs` and `has_changed`.
     """
 
-    def __init__(self, me: Peer, random: Random, now: float) -> None:
+    def __init__(self, local_peer: Peer, random: Random, now: float) -> None:
         """Start without members, as the instance `me`."""
-        self.me = me
+        self.local_peer = local_peer
         self.random = random
         self.incarnation = 0  # of this relay
         self._table = MemberTable()
@@ -79,7 +79,7 @@
         self.outgoing: list[Outgoing] = []
         self.tcp_probes: list[TcpProbe] = []
         self.death_proofs: list[DeathProof] = []  # received, and not yet acted on
-        self.has_changed = False  # whether somebody's health has changed
+        self.health_has_changed = False  # whether somebody's health has changed
         self.health_score = 0  # of this relay; 0 is healthy
         self._probe_order = ProbeOrder(random)
         self._relayed_probes: dict[int, RelayedProbe] = {}  # by the sequence number of this relay's ping
@@ -90,12 +90,12 @@
 
     # Members.
 
-    def watch(self, peers: tuple[Peer, ...], now: float) -> None:
+    def set_members(self, peers: tuple[Peer, ...], now: float) -> None:
         """Monitor these members from now on; what is known of instances that stay is kept."""
-        others = [peer for peer in peers if peer.name != self.me.name]
+        others = [peer for peer in peers if peer.name != self.local_peer.name]
         former = self._table.replace(others, now)
         self._probe_order.update(self.members, former)
-        self._rumors.retain({*self.members, self.me.name})
+        self._rumors.retain({*self.members, self.local_peer.name})
         # Guards against the answer of an earlier instance to a probe of that one.
         self.probes = [
             probe for probe in self.probes if former.get(probe.target) is self.members.get(probe.target)
@@ -104,7 +104,7 @@
     def is_alive(self, name: str) -> bool:
         """Return whether a member is neither suspected nor dead; this relay is alive."""
         member = self.members.get(name)
-        return name == self.me.name or (member is not None and member.health is Health.ALIVE)
+        return name == self.local_peer.name or (member is not None and member.health is Health.ALIVE)
 
     @property
     def alive_count(self) -> int:
@@ -128,7 +128,7 @@
         if member.health is not Health.DEAD:
             self._declare_dead(member, now)
         if is_proven:
-            self._queue_rumor(member, RUMOR_CONFIRMED_DEAD, self.me.name)
+            self._queue_rumor(member, RUMOR_CONFIRMED_DEAD, self.local_peer.name)
 
     def _declare_dead(self, member: MonitoredMember, now: float) -> None:
         self._set_health(member, Health.DEAD, now)
@@ -136,7 +136,7 @@
 
     def _set_health(self, member: MonitoredMember, health: Health, changed_at: float) -> None:
         self._table.set_health(member, health, changed_at)
-        self.has_changed = True
+        self.health_has_changed = True
 
     # Time.
 
@@ -239,7 +239,7 @@
             self._change_health_score(penalty)
             member = self.members.get(probe.target)
             if member is not None:
-                self._suspect(member, self.me.name, member.incarnation, now)
+                self._suspect(member, self.local_peer.name, member.incarnation, now)
 
     def _change_health_score(self, change: int) -> None:
         self.health_score = min(MAX_HEALTH_SCORE, max(0, self.health_score + change))
@@ -257,7 +257,7 @@
 
     def handle_ping(self, sender: str, ping: Ping) -> None:
         """Answer a ping."""
-        self.outgoing.append(Outgoing(sender, Ack(ping.seq, self.me.instance)))
+        self.outgoing.append(Outgoing(sender, Ack(ping.seq, self.local_peer.instance)))
 
     def handle_ack(self, sender: str, ack: Ack, now: float) -> None:
         """End the probe that this answers; another instance's ack proves that the monitored one is dead."""
@@ -267,7 +267,7 @@
         elif member is not None and member.health is Health.DEAD:
             # It answers: a partition has healed. It is suspected until it refutes that.
             self._set_health(member, Health.SUSPECT, now)
-            member.suspected_by = {self.me.name}
+            member.suspected_by = {self.local_peer.name}
         for probe in self.probes:
             if probe.seq == ack.seq:
                 self.probes.remove(probe)
@@ -301,7 +301,7 @@
 
     def handle_rumor(self, rumor: Rumor, now: float) -> None:
         """Learn what another relay says of a member."""
-        if rumor.name == self.me.name:
+        if rumor.name == self.local_peer.name:
             self._refute_own_suspicion(rumor)
             return
         member = self.members.get(rumor.name)
@@ -317,13 +317,13 @@
 
     def _refute_own_suspicion(self, rumor: Rumor) -> None:
         """Contradict a suspicion of this instance with an incarnation above the suspected one."""
-        me = self.me
-        if rumor.instance != me.instance or rumor.state != RUMOR_SUSPECT:
+        local_peer = self.local_peer
+        if rumor.instance != local_peer.instance or rumor.state != RUMOR_SUSPECT:
             return
         if rumor.incarnation >= self.incarnation:
             self.incarnation = rumor.incarnation + 1
             self._change_health_score(+1)
-        refutation = Rumor(me.name, me.instance, self.incarnation, RUMOR_ALIVE)
+        refutation = Rumor(local_peer.name, local_peer.instance, self.incarnation, RUMOR_ALIVE)
         self._rumors.put(refutation, len(self.members) + 1)
 
     def _refute_suspicion(self, member: MonitoredMember, incarnation: int) -> None:
@@ -339,7 +339,7 @@
         if member.health is Health.ALIVE:
             self._set_health(member, Health.SUSPECT, now)
             member.suspected_by = set()
-            if reporter != self.me.name and self._is_verifier():
+            if reporter != self.local_peer.name and self._is_verifier():
                 self.probe_now(member.peer.name, now)
         elif incarnation > member.incarnation:
             member.health_changed_at = now
@@ -368,6 +368,8 @@
         member = self.members.get(recipient)
         if member is not None and member.health is not Health.ALIVE:
             peer = member.peer
-            picked.append(Rumor(recipient, peer.instance, member.incarnation, RUMOR_SUSPECT, self.me.name))
+            picked.append(
+                Rumor(recipient, peer.instance, member.incarnation, RUMOR_SUSPECT, self.local_peer.name)
+            )
         picked += self._rumors.pick(MAX_RUMORS_PER_PACKET - len(picked))
         return tuple(picked)
--- a/violetdoor/fleet/gossip.py
+++ b/violetdoor/fleet/gossip.py
@@ -25,9 +25,9 @@
         if self.context.view is None or now < self.last_spread_at + SPREAD_INTERVAL_SECONDS:
             return
         self.last_spread_at = now
-        self.send_to_random(FANOUT)
+        self.send_to_random_members(FANOUT)
 
-    def send_to_random(self, count: int) -> None:
+    def send_to_random_members(self, count: int) -> None:
         """Send to so many random members that are alive and get no packet in this step yet."""
         context = self.context
         view = context.view
--- a/violetdoor/fleet/handover.py
+++ b/violetdoor/fleet/handover.py
@@ -65,7 +65,7 @@
             clock=context.map.clock.latest,
             replay_windows=tuple(
                 SenderWindow(name, instance, window.newest)
-                for (name, instance), window in self.packets.windows.items()
+                for (name, instance), window in self.packets.replay_windows.items()
             ),
             readmissions=tuple(self.joining.readmissions.values()),
             departed_instances=tuple(self.departures.left_instances),
@@ -96,7 +96,7 @@
     def _import_parts(self, state: HandoverState) -> None:
         self.heartbeat.last_joined_at = state.last_heartbeat_at
         self.packets.sent_count = state.packet_count
-        self.packets.windows = {
+        self.packets.replay_windows = {
             (w.name, w.instance): ReplayWindow(w.max_sequence) for w in state.replay_windows
         }
         self.joining.readmissions = {one.name: one for one in state.readmissions}
--- a/violetdoor/fleet/heartbeat.py
+++ b/violetdoor/fleet/heartbeat.py
@@ -43,7 +43,7 @@
         if self._is_round_open and now >= self.next_gossip_at:
             jitter = self.context.random.uniform(*ROUND_GOSSIP_JITTER_FACTORS)
             self.next_gossip_at = now + ROUND_GOSSIP_INTERVAL_SECONDS * jitter
-            self.gossip.send_to_random(1)
+            self.gossip.send_to_random_members(1)
 
     def beat(self, now: float) -> None:
         """Start a round if it is time, and act on what the present one has brought."""
--- a/violetdoor/fleet/membership.py
+++ b/violetdoor/fleet/membership.py
@@ -73,7 +73,7 @@
         context = self.context
         view = state.view
         context.agreement = Agreement.restore(state, context.config.name, context.random)
-        context.detector.watch(view.members, now)
+        context.detector.set_members(view.members, now)
         context.member_addresses = _addresses(view.members)
 
     def install(self, view: View, now: float, previous: View | None) -> None:
@@ -126,7 +126,7 @@
         context.state = MemberState.MEMBER
         context.agreement = Agreement(view, name, context.random)
         context.lease = Lease(len(view.members), index, context.random, expires_at, not_before)
-        context.detector.watch(view.members, now)
+        context.detector.set_members(view.members, now)
         context.member_addresses = _addresses(view.members)
 
     def _emit_view(self, view: View) -> None:
@@ -168,8 +168,8 @@
         context.view = None
         context.agreement = None
         context.lease = None
-        context.detector.me = context.local_peer
-        context.detector.watch((), now)
+        context.detector.local_peer = context.local_peer
+        context.detector.set_members((), now)
         context.detector.incarnation = 0
         for listener in self.listeners:
             listener.on_view_left(now)
--- a/violetdoor/fleet/messages.py
+++ b/violetdoor/fleet/messages.py
@@ -111,17 +111,17 @@
     """Ask whether a member would agree to this change, which binds nobody (Raft's pre-vote)."""
 
     base: ViewId
-    number: int  # of the proposer's pre-votes on this view
+    pre_vote_number: int  # counts the pre-votes of the proposer on this view
     change: ViewChange
-    ended: tuple[int, ...] = ()  # indices of members of which a later instance has answered
+    ended_indexes: tuple[int, ...] = ()  # members of which a later instance has answered
 
 
 class PreVoteResponse(Struct, frozen=True, array_like=True, tag=11):
     """Name the members among the change's dead that the sender hears; none of them means agreement."""
 
     base: ViewId
-    number: int
-    alive: tuple[int, ...]
+    pre_vote_number: int  # of the request
+    alive_indexes: tuple[int, ...]
 
 
 class Prepare(Struct, frozen=True, array_like=True, tag=12):
--- a/violetdoor/fleet/node.py
+++ b/violetdoor/fleet/node.py
@@ -315,8 +315,8 @@
                 instance = detector.members[probe.target].peer.instance
                 outbox.start_call(address, TcpPing(instance), probe.target, probe.seq)
         detector.tcp_probes.clear()
-        if detector.has_changed:
-            detector.has_changed = False
+        if detector.health_has_changed:
+            detector.health_has_changed = False
             self.gossip.spread(now)
 
     def _earliest_wake(self, now: float) -> float:
--- a/violetdoor/fleet/outbox.py
+++ b/violetdoor/fleet/outbox.py
@@ -50,11 +50,11 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingCall:
-    """A call without an answer yet; `name` and `probe_sequence` are of the probe that made it, if one did."""
+    """A call without a response yet."""
 
     request: Request
-    name: str
-    probe_sequence: int
+    peer_name: str  # relay that is called; empty where its name is not known
+    probe_seq: int  # sequence number of the probe that the call belongs to, 0 if it belongs to none
 
 
 class Outbox:
@@ -77,10 +77,10 @@
         """Send a packet."""
         self._datagrams.append(Datagram(address, packet))
 
-    def start_call(self, address: Address, request: Request, name: str = "", probe_sequence: int = 0) -> int:
+    def start_call(self, address: Address, request: Request, peer_name: str = "", probe_seq: int = 0) -> int:
         """Make a call and return its number."""
         self._last_call_number += 1
-        self.pending_calls[self._last_call_number] = PendingCall(request, name, probe_sequence)
+        self.pending_calls[self._last_call_number] = PendingCall(request, peer_name, probe_seq)
         self._calls.append(Call(self._last_call_number, address, request))
         return self._last_call_number
 
--- a/violetdoor/fleet/packets.py
+++ b/violetdoor/fleet/packets.py
@@ -55,7 +55,7 @@
         self.context = context
         self.departures = departures
         self.sent_count = 0  # packets; each one carries its number, against replays
-        self.windows: dict[tuple[str, int], ReplayWindow] = {}  # by name and instance of the sender
+        self.replay_windows: dict[tuple[str, int], ReplayWindow] = {}  # by name and instance of the sender
         self.peer_versions: dict[str, int] = {}  # the newest protocol version that each understands
         self.sources: dict[str, Source] = {}  # of instances outside the view, by name
         self.dropped: dict[DropReason, int] = dict.fromkeys(DropReason, 0)
@@ -76,11 +76,11 @@
         if packet.sender == self.context.config.name:
             return DropReason.STRANGER
         sender = packet.sender, packet.sender_instance
-        if sender not in self.windows:
-            if len(self.windows) >= MAX_SENDERS:
+        if sender not in self.replay_windows:
+            if len(self.replay_windows) >= MAX_SENDERS:
                 return DropReason.STRANGER
-            self.windows[sender] = ReplayWindow()
-        return None if self.windows[sender].accept(packet.sequence) else DropReason.REPEATED
+            self.replay_windows[sender] = ReplayWindow()
+        return None if self.replay_windows[sender].accept(packet.sequence) else DropReason.REPEATED
 
     def record_source(self, packet: Packet, address: Address) -> None:
         """Record an instance that is no member: answers go to that instance, at its source."""
@@ -154,7 +154,9 @@
     def on_view_installed(self, _old: View | None, view: View, _now: float) -> None:
         """Keep what belongs to members of the view."""
         senders = {(peer.name, peer.instance) for peer in view.members}
-        self.windows = {sender: window for sender, window in self.windows.items() if sender in senders}
+        self.replay_windows = {
+            sender: window for sender, window in self.replay_windows.items() if sender in senders
+        }
         self.peer_versions = {
             name: version for name, version in self.peer_versions.items() if name in view.index_by_name
         }
--- a/violetdoor/fleet/requests.py
+++ b/violetdoor/fleet/requests.py
@@ -91,13 +91,13 @@
             case TcpPing(instance=asked), TcpAck(instance=answered):
                 self._handle_ping_answer(call, asked, answered, now)
             case TcpPing(instance=asked), None if refused:
-                self.departures.confirm_failed(call.name, asked, now)
+                self.departures.confirm_failed(call.peer_name, asked, now)
             case _, StateSnapshot(view=view, has_lease=has_lease, entries=entries):
                 self.sync.merge(entries, now)
                 if view is not None:
                     self.joining.learn_view(view, now, has_lease=has_lease)
             case EpochVoteRequest(), EpochVote(epoch=epoch, is_granted=True):
-                self.founder.record_vote(call.name, epoch, now)
+                self.founder.record_vote(call.peer_name, epoch, now)
             case Hello(), NotAMember(peer=peer, is_founder=is_founder, uptime_seconds=uptime):
                 self.founder.add_candidate(peer, uptime, now, is_founder=is_founder)
                 self.founder.found_if_possible(now)
@@ -112,6 +112,6 @@
     ) -> None:
         """Take a TCP ping's answer: another instance's proves that the one that was asked has ended."""
         if answering_instance != asked_instance:
-            self.departures.confirm_failed(call.name, asked_instance, now)
-        elif call.name in self.context.detector.members:
-            self.context.detector.handle_tcp_ack(call.probe_sequence)
+            self.departures.confirm_failed(call.peer_name, asked_instance, now)
+        elif call.peer_name in self.context.detector.members:
+            self.context.detector.handle_tcp_ack(call.probe_seq)
