--- a/tests/recorded/record_forms.py
+++ b/tests/recorded/record_forms.py
@@ -1,13 +1,14 @@
-"""Names and forms of what operators meet: schemas, console calls, statsd text, counters, commands and errors.
+"""Record the operators' interfaces: schemas, console calls, statsd text, counters, commands and errors.
 
-The data beside this file was made by the code of revision 300e9a1, from the root of its worktree, by
+The JSON files beside this file were recorded with the code of revision 300e9a1, from the root of its
+worktree, by
 
     PYTHONPATH=tests:. .venv/bin/python -m recorded.record_forms
 
-and is not made again: a difference is a change of what operators meet. The program is reached through its
-command line, its sockets and its signals alone, so that names inside of it may change.
+and must not be recorded again: a difference is a change of an interface that operators use. The program is
+accessed only through its command line, sockets and signals, so that its internal names may change.
 
-Values are left out; what is kept is the order and the names of keys, the types of values, and the text of errors.
+A recording keeps the order and names of keys, the types of values and the text of errors, but no values.
 """
 
 from __future__ import annotations
@@ -29,52 +30,52 @@
 
 from standins import PATIENCE, ROOT, Discovery, GateServer, NatsServer, Relay, relay, run, until
 
-HERE = Path(__file__).parent
-RUNS = 3  # of the console's calls: names that come by chance are told from those that are always there
+FOLDER = Path(__file__).parent
+RUNS = 3  # runs of each scenario, to distinguish names that always occur from those that sometimes occur
 KEY = b"0123456789abcdef0123456789abcdef"
 TYPES = {str: "string", int: "integer", float: "number", bool: "boolean", type(None): "null"}
-COUNTS = "counts"  # the key whose names depend on what happened
+COUNTS = "counts"  # JSON key of an object whose keys depend on what happened in the run
 
 
-def load(name: str) -> Any:
-    """The recorded data of this name."""
-    return json.loads((HERE / f"{name}.json").read_text())
+def load_recording(name: str) -> Any:
+    """Read a recording."""
+    return json.loads((FOLDER / f"{name}.json").read_text())
 
 
-def save(name: str, data: Any) -> None:
-    """Record data under this name."""
-    (HERE / f"{name}.json").write_text(json.dumps(data, indent=1) + "\n")
+def save_recording(name: str, data: Any) -> None:
+    """Write a recording."""
+    (FOLDER / f"{name}.json").write_text(json.dumps(data, indent=1) + "\n")
 
 
 ENVIRONMENT = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
 ENVIRONMENT |= {"COLUMNS": "200"}
 
 
-def command(*args: str, **env: str) -> subprocess.CompletedProcess[str]:
-    """Run the program to its end, outside of any terminal."""
+def run_command(*args: str, **env: str) -> subprocess.CompletedProcess[str]:
+    """Run the program until it exits, without a terminal."""
     return subprocess.run(
         [sys.executable, "-m", "violetdoor", *args], cwd=ROOT, capture_output=True, text=True, timeout=60,
         env=ENVIRONMENT | env, stdin=subprocess.DEVNULL,
     )  # fmt: skip
 
 
-class Use(NamedTuple):
-    """One use of the command line: its arguments and what is added to the environment."""
+class Invocation(NamedTuple):
+    """Arguments of the command line, and variables added to its environment."""
 
     args: tuple[str, ...]
     env: dict[str, str]
 
 
-class Ended(NamedTuple):
-    """How it ended."""
+class InvocationResult(NamedTuple):
+    """Exit status and output of an invocation."""
 
-    status: int | str  # "serves": it began to take clients, and was stopped
+    status: int | str  # "serves" if the program accepted clients and was then terminated
     out: str
     err: str
 
 
-# Imports are done once, then each use is a process of its own, as quick as a fork.
-FORKS = """
+# Imports the program once, then forks a process for each invocation, which is faster than starting anew.
+FORK_SCRIPT = """
 import json, os, signal, sys, time
 import click, lark, msgspec, orjson, uvloop
 from violetdoor.__main__ import main
@@ -86,7 +87,7 @@
     sys.argv = ["violetdoor", *args]
     sys.exit(main())
 
-folder, uses = json.load(sys.stdin)
+folder, invocations = json.load(sys.stdin)
 with open(os.devnull, "w") as sys.stdout, open(os.devnull, "w") as sys.stderr:
     for form in ("operator", "platform", "control"):
         bad = os.path.join(folder, "bad.json")
@@ -95,15 +96,15 @@
         sys.argv = ["violetdoor", "config", "check", "--form", form, bad]
         main()
 sys.stdout, sys.stderr = sys.__stdout__, sys.__stderr__
-ended = []
-for args, env in uses:
+results = []
+for args, env in invocations:
     paths = [os.path.join(folder, name) for name in ("stdout", "stderr")]
     if not (pid := os.fork()):
         child(args, env, paths)
     served, deadline = False, time.monotonic() + 60
     while True:
-        gone, status = os.waitpid(pid, os.WNOHANG)
-        if gone:
+        exited_pid, status = os.waitpid(pid, os.WNOHANG)
+        if exited_pid:
             break
         if not served and os.path.exists(paths[1]) and "listening on" in open(paths[1]).read():
             served = True
@@ -112,22 +113,22 @@
             os.kill(pid, signal.SIGKILL)
         time.sleep(0.002)
     code = "serves" if served else os.waitstatus_to_exitcode(status)
-    ended.append([code, *(open(path).read() for path in paths)])
+    results.append([code, *(open(path).read() for path in paths)])
     for path in paths:
         os.unlink(path)
-print(json.dumps(ended))
+print(json.dumps(results))
 """
 
 
-def ends(uses: Sequence[Use]) -> list[Ended]:
-    """How each use of the command line ends."""
+def run_invocations(invocations: Sequence[Invocation]) -> list[InvocationResult]:
+    """Run each invocation of the command line in a process of its own."""
     with tempfile.TemporaryDirectory() as folder:
         done = subprocess.run(
-            [sys.executable, "-c", FORKS], cwd=ROOT, capture_output=True, text=True, timeout=600,
-            env=ENVIRONMENT, input=json.dumps([folder, uses]),
+            [sys.executable, "-c", FORK_SCRIPT], cwd=ROOT, capture_output=True, text=True, timeout=600,
+            env=ENVIRONMENT, input=json.dumps([folder, invocations]),
         )  # fmt: skip
     assert done.returncode == 0, done.stderr
-    return [Ended(*one) for one in json.loads(done.stdout)]
+    return [InvocationResult(*result) for result in json.loads(done.stdout)]
 
 
 # Schemas.
@@ -141,24 +142,25 @@
 
 
 def schema(name: str) -> Any:
-    """A printed schema without the names and doc comments of Python classes: references are written out."""
-    done = command(*SCHEMAS[name])
+    """Return a printed schema with references expanded and without class names and docstrings."""
+    done = run_command(*SCHEMAS[name])
     assert done.returncode == 0, done.stderr
     data = json.loads(done.stdout)
-    return _written_out(data, data.get("$defs", {}), ())
+    return _expand_references(data, data.get("$defs", {}), ())
 
 
-def _written_out(node: Any, definitions: dict[str, Any], within: tuple[str, ...]) -> Any:
+def _expand_references(node: Any, definitions: dict[str, Any], enclosing: tuple[str, ...]) -> Any:
+    """Expand references in a node; `enclosing` are the names of the definitions around it."""
     if isinstance(node, list):
-        return [_written_out(item, definitions, within) for item in node]
+        return [_expand_references(item, definitions, enclosing) for item in node]
     if not isinstance(node, dict):
         return node
     if "$ref" in node:
         target = node["$ref"].rpartition("/")[2]
         rest = {key: value for key, value in node.items() if key not in ("$ref", "$defs")}
-        depth = f"itself, {len(within) - within.index(target)} up" if target in within else None
-        referred = depth or _written_out(definitions[target], definitions, (*within, target))
-        return {"refers to": referred} | _written_out(rest, definitions, within)
+        depth = f"itself, {len(enclosing) - enclosing.index(target)} up" if target in enclosing else None
+        referred = depth or _expand_references(definitions[target], definitions, (*enclosing, target))
+        return {"refers to": referred} | _expand_references(rest, definitions, enclosing)
     masked = {"title", "description", "$defs"} if "title" in node else {"$defs"}  # only classes have titles
     kept = {}
     for key, value in node.items():
@@ -167,22 +169,25 @@
         if key in ("default", "enum", "const", "examples"):
             kept[key] = value
         elif key == "properties":
-            kept[key] = {name: _written_out(one, definitions, within) for name, one in value.items()}
+            kept[key] = {
+                name: _expand_references(schema_node, definitions, enclosing)
+                for name, schema_node in value.items()
+            }
         else:
-            kept[key] = _written_out(value, definitions, within)
+            kept[key] = _expand_references(value, definitions, enclosing)
     return kept
 
 
 def schemas() -> dict[str, Any]:
-    """All schemas that the command line prints."""
+    """Return all schemas that the command line prints."""
     return {name: schema(name) for name in SCHEMAS}
 
 
-# Forms of JSON and of texts.
+# Forms of JSON and text.
 
 
 def form(value: Any) -> Any:
-    """Keys in their order with the types of their values; of a list the forms that its items have."""
+    """Return keys in order with the types of their values; for a list, the distinct forms of its items."""
     if isinstance(value, dict):
         return {key: form(item) for key, item in value.items()}
     if isinstance(value, list):
@@ -192,12 +197,12 @@
 
 
 def statsd(text: str) -> list[str]:
-    """Names and kinds of a statsd text, in order."""
+    """Return the metric names and kinds of a statsd text in order."""
     return [re.sub(r":-?\d+\|", "|", line) for line in text.splitlines()]
 
 
 def answer_form(status: int, text: str) -> dict[str, Any]:
-    """One answer of a console: its status, and the form of its JSON or statsd text, or its words."""
+    """Return the status of a console's answer and the form of its JSON or statsd, or its masked text."""
     if text.startswith("{"):
         return {"status": status, "json": form(json.loads(text))}
     if text.startswith("svc."):
@@ -208,48 +213,48 @@
     return {"status": status, "text": masked.splitlines()}
 
 
-def split_counts(seen: Any, names: dict[str, list[str]], where: str = "") -> Any:
-    """Take the names of counts out of a form; they go into `names` by their place."""
-    if isinstance(seen, list):
-        return [split_counts(item, names, where) for item in seen]
-    if not isinstance(seen, dict):
-        return seen
+def split_counts(node: Any, names: dict[str, list[str]], parent_path: str = "") -> Any:
+    """Return a form without the names of counters, which are put into `names` by their path."""
+    if isinstance(node, list):
+        return [split_counts(item, names, parent_path) for item in node]
+    if not isinstance(node, dict):
+        return node
     kept: dict[str, Any] = {}
-    for key, item in seen.items():
-        at = f"{where}.{key}" if where else key
+    for key, item in node.items():
+        path = f"{parent_path}.{key}" if parent_path else key
         if key == COUNTS:
-            assert set(item.values()) <= {"integer"}, (at, item)
-            names[at] = sorted(item)
+            assert set(item.values()) <= {"integer"}, (path, item)
+            names[path] = sorted(item)
             kept[key] = "counts"
         elif key == "statsd" and any("control_sessions" in line for line in item):
             kept[key] = [line for line in item if line.endswith("|g")]
-            names[at] = sorted(line for line in item if line.endswith("|c"))
+            names[path] = sorted(line for line in item if line.endswith("|c"))
         else:
-            kept[key] = split_counts(item, names, at)
+            kept[key] = split_counts(item, names, path)
     return kept
 
 
-# The program between stand-ins.
+# Running the program against stand-ins.
 
 
 class Network:
-    """Loopback addresses of one scenario alone, on ports that were free."""
+    """Loopback addresses that only one scenario uses, on free ports."""
 
     def __init__(self) -> None:
-        self.net = f"127.{100 + os.getpid() % 40}.{Random().randrange(256)}"
-        self.given: dict[str, str] = {}
+        self.prefix = f"127.{100 + os.getpid() % 40}.{Random().randrange(256)}"
+        self.addresses: dict[str, str] = {}
 
-    def at(self, name: str) -> str:
-        """The address of a name, the same each time."""
-        if name not in self.given:
-            host = f"{self.net}.{len(self.given) + 1}"
+    def address_of(self, name: str) -> str:
+        """Return the address assigned to a name; assign one on first use."""
+        if name not in self.addresses:
+            host = f"{self.prefix}.{len(self.addresses) + 1}"
             with socket.socket() as sock:
                 sock.bind((host, 0))
-                self.given[name] = f"{host}:{sock.getsockname()[1]}"
-        return self.given[name]
+                self.addresses[name] = f"{host}:{sock.getsockname()[1]}"
+        return self.addresses[name]
 
 
-def write(path: Path, data: Any) -> Path:
+def write_json(path: Path, data: Any) -> Path:
     """Write a JSON file."""
     path.write_text(json.dumps(data))
     return path
@@ -262,41 +267,46 @@
         sys.executable, "-m", "violetdoor", "control", "--config", str(path), cwd=ROOT,
         stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
-    it = Relay(process)
+    machine = Relay(process)
     try:
-        await until(lambda: it.console[1] or process.returncode is not None)
-        yield it
+        await until(lambda: machine.console[1] or process.returncode is not None)
+        yield machine
     finally:
-        status = await it.stop()
-    assert status == 0, it.lines
+        status = await machine.stop()
+    assert status == 0, machine.lines
 
 
-async def reaches(one: Relay, call: str, wanted: Callable[[Any], bool]) -> Any:
-    """Ask until the JSON of a call is as wanted."""
+async def wait_for_json(program: Relay, call: str, condition: Callable[[Any], bool]) -> Any:
+    """Repeat a console call until its JSON fulfills a condition."""
     async with asyncio.timeout(2 * PATIENCE):
         while True:
-            status, text = await one.call(call)
-            if status == 200 and wanted(found := json.loads(text)):
+            status, text = await program.call(call)
+            if status == 200 and condition(found := json.loads(text)):
                 return found
             await asyncio.sleep(0.02)
 
 
-async def figure(one: Relay, name: str, least: int) -> None:
-    """Ask until a figure is at least so much."""
+async def wait_for_figure(program: Relay, name: str, minimum: int) -> None:
+    """Read the figures of `/stats` until one of them is at least `minimum`."""
     async with asyncio.timeout(PATIENCE):
-        while (await one.figures()).get(name, 0) < least:
+        while (await program.figures()).get(name, 0) < minimum:
             await asyncio.sleep(0.01)
 
 
-async def answers(one: Relay, calls: Iterable[str], names: dict[str, str] | None = None) -> dict[str, Any]:
-    """The forms of the answers to calls, one after another; `names` stand for what differs by run."""
-    found = {}
+async def answer_forms(
+    program: Relay, calls: Iterable[str], placeholders: dict[str, str] | None = None
+) -> dict[str, Any]:
+    """Make console calls in order and return the forms of their answers.
+
+    `placeholders` map words in the calls to values that differ by run.
+    """
+    forms = {}
     for call in calls:
-        shown = call if len(call) < 200 else call[:20] + "..."
-        for placeholder, value in (names or {}).items():
+        recorded_call = call if len(call) < 200 else call[:20] + "..."
+        for placeholder, value in (placeholders or {}).items():
             call = call.replace(placeholder, value)
-        found[shown] = answer_form(*await one.call(call))
-    return found
+        forms[recorded_call] = answer_form(*await program.call(call))
+    return forms
 
 
 PLAIN_CALLS = [
@@ -320,49 +330,49 @@
 
 
 async def platform_relay(folder: Path) -> dict[str, Any]:
-    """A relay started by the platform's form: its calls, and its counters after some traffic."""
+    """Run a relay with a platform configuration; return its calls, and its counters after some traffic."""
     async with GateServer() as server, Discovery(server) as discovery:
-        path = write(folder / "platform.json", {
+        path = write_json(folder / "platform.json", {
             "name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.address, "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "known": discovery.listed(),
             "settings": PLATFORM_SETTINGS, "console": "127.0.0.1:0",
         })  # fmt: skip
-        async with relay(BALANCER_CONFIG=str(path)) as it:
-            await figure(it, "pool_size", 1)
-            calls = await answers(it, PLAIN_CALLS, {"SERVER": f"s-{server.address}"})
-            counters = await line_traffic(it, server, path)
+        async with relay(BALANCER_CONFIG=str(path)) as program:
+            await wait_for_figure(program, "pool_size", 1)
+            calls = await answer_forms(program, PLAIN_CALLS, {"SERVER": f"s-{server.address}"})
+            counters = await line_traffic(program, server, path)
     return {"calls": calls, "counters": counters}
 
 
-async def line_traffic(it: Relay, server: GateServer, path: Path) -> list[str]:
-    """Have clients served, rejected and refused, reload twice; the names of the counters, in order."""
+async def line_traffic(program: Relay, server: GateServer, path: Path) -> list[str]:
+    """Have clients served, rejected and refused, reload twice; return the names of the counters in order."""
 
-    async def opened(values: bytes, number: int) -> tuple[bytes, asyncio.StreamWriter]:
-        reader, writer = await it.open()
+    async def open_client(values: bytes, number: int) -> tuple[bytes, asyncio.StreamWriter]:
+        reader, writer = await program.open()
         writer.write(b"OPEN %016x 7f3a9c21e0b4d655 %b\r\n" % (number, values))
         async with asyncio.timeout(PATIENCE):
             return await reader.readline(), writer
 
-    answer, held = await opened(b"c=checkin,t=acme,d=1000,g=5c0f", 1)
+    answer, established = await open_client(b"c=checkin,t=acme,d=1000,g=5c0f", 1)
     assert answer == b"UP r1\r\n"
-    held.write(b"M 1\r\n")
-    assert (await opened(b"c=unknown,t=acme,d=1000", 2))[0] == b"ERR\r\n"
+    established.write(b"M 1\r\n")
+    assert (await open_client(b"c=unknown,t=acme,d=1000", 2))[0] == b"ERR\r\n"
     server.first = b"ERR\r\n"
-    assert (await opened(b"c=booking,t=acme,d=200", 3))[0].startswith(b"BUSY")
-    reader, writer = await it.open()
+    assert (await open_client(b"c=booking,t=acme,d=200", 3))[0].startswith(b"BUSY")
+    reader, writer = await program.open()
     writer.write(b"nonsense\r\n")
     assert (await reader.read(-1)) is not None
-    held.close()
+    established.close()
     await until(lambda: server.ended >= 2)
     good = path.read_text()
     for text, name in (("", "config_rejected"), (good, "config_applied")):
         path.write_text(text)
-        it.process.send_signal(signal.SIGHUP)
-        await figure(it, name, 1)
+        program.process.send_signal(signal.SIGHUP)
+        await wait_for_figure(program, name, 1)
     async with asyncio.timeout(PATIENCE):
-        while (await it.figures())["active"]:
+        while (await program.figures())["active"]:
             await asyncio.sleep(0.01)
-    return list(await it.counters())
+    return list(await program.counters())
 
 
 RULES = """
@@ -383,20 +393,20 @@
 
 
 async def fleet_relays(folder: Path) -> dict[str, Any]:
-    """Two relays that keep a view, with the NATS front, rules and shedding."""
+    """Run two relays of one fleet with the NATS front, rules and load shedding."""
     network, names = Network(), ["r1", "r2"]
     (folder / "fleet.key").write_bytes(KEY)
     (folder / "club.rules").write_text(RULES)
     async with NatsServer() as server, contextlib.AsyncExitStack() as stack:
         starting = []
         for name in names:
-            path = write(folder / f"{name}.json", {
+            path = write_json(folder / f"{name}.json", {
                 "name": name, "listen": "127.0.0.1:0", "console": "127.0.0.1:0", "classes": CLASSES,
                 "rules": {"file": "club.rules"}, "overload": {"cores": 1.0, "memory_mb": 512},
                 "servers": [{"id": "s1", "addr": server.address}],
                 "fleet": {
-                    "listen": network.at(name), "key": "fleet.key", "founders": names, "wait": 8.0,
-                    "seeds": [network.at(other) for other in names if other != name],
+                    "listen": network.address_of(name), "key": "fleet.key", "founders": names, "wait": 8.0,
+                    "seeds": [network.address_of(other) for other in names if other != name],
                     "state": f"{name}.state",
                 },
             })  # fmt: skip
@@ -404,23 +414,27 @@
             starting.append(
                 stack.enter_async_context(relay("--config", str(path), TMPDIR=str(folder / name)))
             )
-        one, two = await asyncio.gather(*starting)
-        for it in (one, two):
-            await reaches(it, "GET /fleet", lambda now: now["may_act"] and now["size"] == 2 and now["clear"])
-        await nats_client(one)
-        owns = {(await it.call("GET /fleet/owns/orders"))[0] for it in (one, two)}
-        calls = await answers(one, FLEET_CALLS)
+        first, second = await asyncio.gather(*starting)
+        for program in (first, second):
+            await wait_for_json(
+                program,
+                "GET /fleet",
+                lambda status: status["may_act"] and status["size"] == 2 and status["clear"],
+            )
+        await nats_client(first)
+        owns = {(await program.call("GET /fleet/owns/orders"))[0] for program in (first, second)}
+        calls = await answer_forms(first, FLEET_CALLS)
         calls["GET /fleet/owns/KEY, of both relays"] = sorted(owns)
-        counters = list(await one.counters())
-        left = await answers(two, ["PUT /fleet/leave"])
-        await reaches(two, "GET /fleet", lambda now: now["standing"] == "left")
-        left |= await answers(two, ["GET /fleet", "GET /fleet/owns/orders", "GET /healthcheck"])
+        counters = list(await first.counters())
+        left = await answer_forms(second, ["PUT /fleet/leave"])
+        await wait_for_json(second, "GET /fleet", lambda status: status["standing"] == "left")
+        left |= await answer_forms(second, ["GET /fleet", "GET /fleet/owns/orders", "GET /healthcheck"])
     return {"calls": calls, "left": left, "counters": counters}
 
 
-async def nats_client(it: Relay) -> None:
-    """One client that connects, subscribes and publishes to itself."""
-    reader, writer = await it.open()
+async def nats_client(program: Relay) -> None:
+    """Run a client that connects, subscribes and publishes to itself."""
+    reader, writer = await program.open()
     connect = (
         b'CONNECT {"verbose":false,"pedantic":false,"user":"one.app","lang":"x","version":"1"}\r\nPING\r\n'
     )
@@ -431,7 +445,7 @@
         writer.write(b"SUB a 1\r\nPUB a 2\r\nhi\r\nPING\r\n")
         while await reader.readline() != b"PONG\r\n":
             pass
-    await figure(it, "ok.booking", 1)
+    await wait_for_figure(program, "ok.booking", 1)
     writer.close()
 
 
@@ -446,34 +460,38 @@
 
 
 async def control_region(folder: Path) -> dict[str, Any]:
-    """One control machine of a region, another region that is not reached, and a relay that is attached."""
+    """Run a control machine of one region and an attached relay; a second region is unreachable."""
     network = Network()
     (folder / "fleet.key").write_bytes(KEY)
-    machine = write(folder / "c1.json", {"control": {
-        "name": "c1", "region": "east", "listen": network.at("sessions"), "console": "127.0.0.1:0",
+    machine = write_json(folder / "c1.json", {"control": {
+        "name": "c1", "region": "east", "listen": network.address_of("sessions"), "console": "127.0.0.1:0",
         "key": "fleet.key", "zone": "a", "group": {
-            "listen": network.at("group"), "founders": ["c1"], "state": "c1.state",
+            "listen": network.address_of("group"), "founders": ["c1"], "state": "c1.state",
         },
-        "regions": {"east": [network.at("sessions")], "west": [network.at("nobody")]},
+        "regions": {"east": [network.address_of("sessions")], "west": [network.address_of("nobody")]},
     }})  # fmt: skip
     async with GateServer() as server, control_machine(machine) as control:
-        path = write(folder / "r1.json", {
+        path = write_json(folder / "r1.json", {
             "front": "line", "name": "r1", "zone": "a", "listen": "127.0.0.1:0", "console": "127.0.0.1:0",
             "line": {"tenants": ["acme"]}, "classes": CLASSES, "servers": [{"id": "s1", "addr": server.address}],
             "fleet": {
-                "region": "east", "control": [network.at("sessions")], "key": "fleet.key", "wait": 20.0,
+                "region": "east", "control": [network.address_of("sessions")], "key": "fleet.key", "wait": 20.0,
             },
         })  # fmt: skip
-        async with relay("--config", str(path), TMPDIR=str(folder)) as it:
-            await reaches(
-                it, "GET /fleet", lambda now: now["clear"] and now["settled"] and now["living"]["total"] == 1
+        async with relay("--config", str(path), TMPDIR=str(folder)) as program:
+            await wait_for_json(
+                program,
+                "GET /fleet",
+                lambda status: status["clear"] and status["settled"] and status["living"]["total"] == 1,
+            )
+            await wait_for_json(
+                control, "GET /control", lambda status: status["may_act"] and status["living"] == 1
             )
-            await reaches(control, "GET /control", lambda now: now["may_act"] and now["living"] == 1)
-            attached = await answers(it, ATTACHED_CALLS)
-            machine_calls = await answers(control, CONTROL_CALLS)
+            attached = await answer_forms(program, ATTACHED_CALLS)
+            machine_calls = await answer_forms(control, CONTROL_CALLS)
             machine_counters = list(await control.counters())
-            counters = list(await it.counters())
-            left = await answers(it, ["PUT /fleet/leave", "GET /fleet", "GET /fleet/owns/orders"])
+            counters = list(await program.counters())
+            left = await answer_forms(program, ["PUT /fleet/leave", "GET /fleet", "GET /fleet/owns/orders"])
     return {
         "attached": attached, "left": left, "machine": machine_calls, "counters": counters,
         "machine counters": machine_counters,
@@ -485,19 +503,19 @@
 }  # fmt: skip
 
 
-def played(name: str, folder: Path) -> tuple[Any, dict[str, list[str]]]:
-    """Play a scenario: the forms, and by place the names of what is counted."""
+def run_scenario(name: str, folder: Path) -> tuple[Any, dict[str, list[str]]]:
+    """Run a scenario; return the forms, and the names of the counters by their path in the result."""
     result: dict[str, Any] = {}
 
-    async def play() -> None:
+    async def run_and_store() -> None:
         result.update(await SCENARIOS[name](folder))
 
-    run(play)
+    run(run_and_store)
     names: dict[str, list[str]] = {}
-    for place in [name for name in result if name.endswith("counters")]:
-        found = result.pop(place)
-        assert found == sorted(found)
-        names[f"SIGUSR1, {place}"] = found
+    for key in [name for name in result if name.endswith("counters")]:
+        counters = result.pop(key)
+        assert counters == sorted(counters)
+        names[f"SIGUSR1, {key}"] = counters
     return split_counts(result, names), names
 
 
@@ -505,7 +523,7 @@
 
 
 def option_forms(text: str) -> list[str]:
-    """The options of a help page with their metavars, defaults, ranges and whether they are required."""
+    """Return a help page's options with metavars, defaults, ranges and whether they are required."""
     section = re.search(r"^Options:\n(.*?)(?:^\n|\Z)", text, re.M | re.S)
     assert section is not None, text
     found = []
@@ -516,8 +534,8 @@
 
 
 def help_pages(args: tuple[str, ...] = ()) -> Iterator[tuple[str, dict[str, Any]]]:
-    """Usage, options, commands and the line on exit statuses of a command and of all below it."""
-    done = command(*args, "--help")
+    """Yield usage, options, subcommands and exit statuses of a command and all its subcommands."""
+    done = run_command(*args, "--help")
     assert done.returncode == 0, done.stderr
     text = done.stdout
     usage = " ".join(re.findall(r"^Usage: (.*?)\n\n", text, re.M | re.S)[0].split())
@@ -538,7 +556,7 @@
 
 
 CASES_FILE = '[[cases]]\nname = "one"\nrequest = {connect = {user = "a.app"}}\nexpect = {class = "%s"}\n'
-USES = [  # what is called, FOLDER being that of the files below
+COMMAND_LINES = [  # FOLDER stands for the folder of the files written by `write_files`
     "--help", "-h", "nothing", "--nothing", "serve --nothing", "config", "config check", "config check FOLDER/no.json",
     "config check FOLDER/operator.json", "config check --form platform FOLDER/platform.json",
     "config check --form control FOLDER/control.json", "config check --form nothing FOLDER/operator.json",
@@ -556,7 +574,7 @@
 
 
 def operator_data() -> dict[str, Any]:
-    """A sound operator's file."""
+    """Return the contents of a valid operator's file."""
     return {
         "front": "line", "name": "r1", "listen": "127.0.0.1:0", "classes": json.loads(json.dumps(CLASSES)),
         "line": {"tenants": ["acme"]}, "servers": [{"id": "s1", "addr": "127.0.0.1:9"}],
@@ -564,7 +582,7 @@
 
 
 def platform_data() -> dict[str, Any]:
-    """A sound file of the platform."""
+    """Return the contents of a valid platform file."""
     return {
         "name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f",
         "limits": {"sockets": 256}, "settings": json.loads(json.dumps(PLATFORM_SETTINGS)),
@@ -572,7 +590,7 @@
 
 
 def control_data() -> dict[str, Any]:
-    """A sound file of a control machine."""
+    """Return the contents of a valid file of a control machine."""
     return {"control": {
         "name": "c1", "region": "east", "listen": "127.0.0.1:9", "key": "fleet.key",
         "group": {"listen": "127.0.0.1:9", "founders": ["c1"]},
@@ -580,11 +598,11 @@
     }}  # fmt: skip
 
 
-def files(folder: Path) -> None:
-    """Write the files that the commands name."""
-    write(folder / "operator.json", operator_data())
-    write(folder / "platform.json", platform_data())
-    write(folder / "control.json", control_data())
+def write_files(folder: Path) -> None:
+    """Write the files that the command lines name."""
+    write_json(folder / "operator.json", operator_data())
+    write_json(folder / "platform.json", platform_data())
+    write_json(folder / "control.json", control_data())
     (folder / "fleet.key").write_bytes(KEY)
     (folder / "good.rules").write_text(RULES)
     (folder / "bad.rules").write_text('rule "x" when nothing.here == 1 { class = "checkin"; }\n')
@@ -592,27 +610,29 @@
     (folder / "fail.toml").write_text(CASES_FILE % "checkin")
 
 
-def uses(folder: Path) -> dict[str, Any]:
-    """How each use ends: its status, and the lines on standard error where that is not 0."""
-    files(folder)
-    called = [Use(tuple(text.replace("FOLDER", str(folder)).split()), {}) for text in USES]
+def run_uses(folder: Path) -> dict[str, Any]:
+    """Run each command line; return its exit status, and its standard error if the status is not 0."""
+    write_files(folder)
+    invocations = [
+        Invocation(tuple(text.replace("FOLDER", str(folder)).split()), {}) for text in COMMAND_LINES
+    ]
     found = {}
-    for text, done in zip(USES, ends(called), strict=True):
+    for text, done in zip(COMMAND_LINES, run_invocations(invocations), strict=True):
         lines = done.err.replace(str(folder), "FOLDER").splitlines()
         if lines and lines[0].startswith("Usage:") and not any(line.startswith("Error:") for line in lines):
-            lines = lines[:1]  # a help page: the words of its other lines are not a form
+            lines = lines[:1]  # a help page: the text of its other lines is not recorded
         if done.status:
-            shown = {"stdout lines": len(done.out.splitlines()), "stderr": lines}
+            output = {"stdout lines": len(done.out.splitlines()), "stderr": lines}
         else:
-            shown = {"prints": bool(done.out), "stderr lines": len(lines)}
-        found[text] = {"status": done.status} | shown
+            output = {"prints": bool(done.out), "stderr lines": len(lines)}
+        found[text] = {"status": done.status} | output
     return found
 
 
-# Files that do not read: by form, what is set at a path (None: taken out) in a sound file, or a whole text.
+# Invalid files of each form: changes to a valid file as pairs of path and value, or a whole text.
 
 Change = tuple[str, Any]
-ABSENT = object()
+ABSENT = object()  # as a value: remove the key
 LONG_NAME = "x" * 65
 FLEET = {"listen": "127.0.0.1:9", "key": "fleet.key", "founders": ["r1"]}
 BAD_OPERATOR: dict[str, list[Change] | str] = {
@@ -672,8 +692,8 @@
 }  # fmt: skip
 
 
-def changed(data: Any, changes: Iterable[Change]) -> Any:
-    """Data with values set at paths, or taken out."""
+def apply_changes(data: Any, changes: Iterable[Change]) -> Any:
+    """Set or remove values at paths, in place; return the data."""
     for path, value in changes:
         *steps, last = path.split(".")
         node = data
@@ -692,32 +712,32 @@
 }  # fmt: skip
 
 
-def bad_files(folder: Path, name: str) -> Iterator[tuple[str, Use]]:
-    """Each bad file of a form in the ways that it is read, and what this is recorded under."""
+def invalid_file_invocations(folder: Path, name: str) -> Iterator[tuple[str, Invocation]]:
+    """Yield the invocations that read each invalid file of a form, with the keys of their recordings."""
     (folder / "fleet.key").write_bytes(KEY)
-    sound, bad = FILE_FORMS[name]
-    for what, changes in bad.items():
-        suffix = "toml" if what == "not TOML" else "json"
-        path = folder / f"{name}-{what.replace(' ', '-')}.{suffix}"
+    valid_data, invalid_files = FILE_FORMS[name]
+    for case, changes in invalid_files.items():
+        suffix = "toml" if case == "not TOML" else "json"
+        path = folder / f"{name}-{case.replace(' ', '-')}.{suffix}"
         if isinstance(changes, str):
             path.write_text(changes)
         else:
-            path.write_text(json.dumps(changed(sound(), changes), indent=1))
-        yield f"{what}, checked", Use(("config", "check", "--form", name, str(path)), {})
+            path.write_text(json.dumps(apply_changes(valid_data(), changes), indent=1))
+        yield f"{case}, checked", Invocation(("config", "check", "--form", name, str(path)), {})
         if name == "platform":
-            start = Use((), {"BALANCER_CONFIG": str(path)})
+            start = Invocation((), {"BALANCER_CONFIG": str(path)})
         else:
-            start = Use((*(["control"] if name == "control" else []), "--config", str(path)), {})
-        yield f"{what}, started", start
+            start = Invocation((*(["control"] if name == "control" else []), "--config", str(path)), {})
+        yield f"{case}, started", start
 
 
-def errors(folder: Path, name: str) -> dict[str, Any]:
-    """The status and all lines of each reading of a bad file of a form, with paths masked."""
-    cases = dict(bad_files(folder, name))
+def config_errors(folder: Path, name: str) -> dict[str, Any]:
+    """Read each invalid file of a form; return the exit status and all output, with paths masked."""
+    cases = dict(invalid_file_invocations(folder, name))
     found = {}
-    for what, done in zip(cases, ends(list(cases.values())), strict=True):
+    for case, done in zip(cases, run_invocations(list(cases.values())), strict=True):
         lines = (done.err + done.out).replace(str(folder), "FOLDER").splitlines()
-        found[what] = {"status": done.status} | ({} if done.status == "serves" else {"lines": lines})
+        found[case] = {"status": done.status} | ({} if done.status == "serves" else {"lines": lines})
     return found
 
 
@@ -725,7 +745,7 @@
 
 
 def counter_names() -> list[str]:
-    """Patterns of the names that the sources count under: they may appear by chance, such as under load."""
+    """Return patterns of all counter names in the sources; some only occur by chance, e.g. under load."""
     texts = [path.read_text() for path in sorted((ROOT / "violetdoor").rglob("*.py"))]
     literal = {name for text in texts for name in re.findall(r'counts\[f?"(.+?)"\]', text)}
     literal |= {name for names in literal for name in re.split(r'" if .+ else "', names)}
@@ -735,28 +755,28 @@
     return sorted(patterns | {"dropped .+"})
 
 
-def _folder(stack: contextlib.ExitStack) -> Path:
+def _temporary_folder(stack: contextlib.ExitStack) -> Path:
     return Path(stack.enter_context(tempfile.TemporaryDirectory()))
 
 
 def main() -> None:
-    """Make all data anew."""
+    """Record everything."""
     with contextlib.ExitStack() as stack:
-        save("schema", schemas())
-        save("commands", {"help": dict(help_pages()), "uses": uses(_folder(stack))})
-        save("errors", {name: errors(_folder(stack), name) for name in FILE_FORMS})
+        save_recording("schema", schemas())
+        save_recording("commands", {"help": dict(help_pages()), "uses": run_uses(_temporary_folder(stack))})
+        save_recording("errors", {name: config_errors(_temporary_folder(stack), name) for name in FILE_FORMS})
         recorded: dict[str, Any] = {}
         for name in SCENARIOS:
-            plays = [played(name, _folder(stack)) for _ in range(RUNS)]
-            assert all(json.dumps(play[0]) == json.dumps(plays[0][0]) for play in plays), plays
-            counted = {}
-            for place in plays[0][1]:
-                sets = [set(play[1][place]) for play in plays]
+            results = [run_scenario(name, _temporary_folder(stack)) for _ in range(RUNS)]
+            assert all(json.dumps(result[0]) == json.dumps(results[0][0]) for result in results), results
+            counter_sets = {}
+            for path in results[0][1]:
+                sets = [set(result[1][path]) for result in results]
                 always, ever = set.intersection(*sets), set.union(*sets)
-                counted[place] = {"always": sorted(always), "sometimes": sorted(ever - always)}
-            recorded[name] = {"forms": plays[0][0], "names": counted}
-        save("console", recorded)
-        save("stats_names", counter_names())
+                counter_sets[path] = {"always": sorted(always), "sometimes": sorted(ever - always)}
+            recorded[name] = {"forms": results[0][0], "names": counter_sets}
+        save_recording("console", recorded)
+        save_recording("stats_names", counter_names())
 
 
 if __name__ == "__main__":
--- a/tests/test_recorded_console.py
+++ b/tests/test_recorded_console.py
@@ -25,11 +25,11 @@
 def test_console_answers_and_counters_have_the_recorded_names_and_forms(
     tmp_path: Path, scenario: str
 ) -> None:
-    recorded = record_forms.load("console")[scenario]
-    forms, names = record_forms.played(scenario, tmp_path)
+    recorded = record_forms.load_recording("console")[scenario]
+    forms, names = record_forms.run_scenario(scenario, tmp_path)
     assert text_of(forms) == text_of(recorded["forms"])
     assert names.keys() == recorded["names"].keys()
-    by_chance = "|".join(record_forms.load("stats_names"))
+    by_chance = "|".join(record_forms.load_recording("stats_names"))
     for place, seen in names.items():
         always, sometimes = (set(recorded["names"][place][kind]) for kind in ("always", "sometimes"))
         assert always <= set(seen), place
--- a/tests/test_recorded_schema.py
+++ b/tests/test_recorded_schema.py
@@ -10,5 +10,5 @@
 
 @pytest.mark.parametrize("name", record_forms.SCHEMAS)
 def test_printed_schema_has_the_recorded_names_types_and_defaults_in_order(name: str) -> None:
-    recorded = record_forms.load("schema")[name]
+    recorded = record_forms.load_recording("schema")[name]
     assert json.dumps(record_forms.schema(name), indent=1) == json.dumps(recorded, indent=1)
