--- a/tests/test_balancing_budget.py
+++ b/tests/test_balancing_budget.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from violetdoor.balancing.budget import SMOOTHING_FACTOR, forecast, set_limit, tiered_budget
+from violetdoor.balancing.budget import SMOOTHING_FACTOR, forecast, set_connection_limit, tiered_budget
 from violetdoor.balancing.model import Tenant
 
 loads = st.floats(0.0, 1e4)
@@ -70,5 +70,5 @@
     tenant = Tenant()
     tenant.load, tenant.connection_count = 8.0, 4
     for budget, limit in ((8.0, 4), (9.0, 5), (0.1, 1)):
-        set_limit(tenant, budget)
+        set_connection_limit(tenant, budget)
         assert tenant.connection_limit == limit
--- a/tests/test_balancing_groups.py
+++ b/tests/test_balancing_groups.py
@@ -16,7 +16,7 @@
     RequestAbandoned,
     ServerEntry,
 )
-from violetdoor.balancing.group_affinity import MIN_HOME_SERVERS
+from violetdoor.balancing.group_affinity import BASE_HOME_SERVERS
 from violetdoor.balancing.placement import MAX_CANDIDATES
 from violetdoor.balancing.timed_health_checks import CHECK_JITTER_MS
 
@@ -172,7 +172,7 @@
     relay = RelayDriver(servers=8, relay_count=40, health_checks_are_timed=True)
     for n in range(8):
         relay.deliver(1.0, HealthCheckEnded(f"s{n}", AttemptResult.OK, 2.0))
-    homes = [s.name for s in relay.balancer.groups.server_order(7)][:MIN_HOME_SERVERS]
+    homes = [s.name for s in relay.balancer.groups.server_order(7)][:BASE_HOME_SERVERS]
     gone = []
     for request in range(1, 41):
         relay.now_ms += 2_000.0
@@ -217,7 +217,7 @@
         # A server that rejects health checks has no capacity, however quickly it answers.
         assert not relay.attempted_servers(1)
         assert isinstance(relay.final_answers(1)[0], Reject)
-    assert len(looked) <= MIN_HOME_SERVERS
+    assert len(looked) <= BASE_HOME_SERVERS
 
 
 def test_large_group_gets_more_servers() -> None:
@@ -228,7 +228,7 @@
             relay.request(request, group=7 if request <= part else 100 + request)
         sizes.append(len(relay.balancer.groups.candidates(relay.balancer.requests[part], 7, limit=24)))
     # Each of 40 relays finds other servers full.
-    assert sizes[0] < MIN_HOME_SERVERS <= sizes[1] < 8 < sizes[2] <= 20
+    assert sizes[0] < BASE_HOME_SERVERS <= sizes[1] < 8 < sizes[2] <= 20
 
 
 def test_warming_up_server_takes_only_groups_that_belong_there() -> None:
@@ -243,4 +243,4 @@
     taken = [g for g in range(200) if relay.attempted_servers(g + 1) == ["s0"]]
     ranks = [[s.name for s in relay.balancer.groups.server_order(g)].index("s0") for g in taken]
     assert taken
-    assert max(ranks) < MIN_HOME_SERVERS
+    assert max(ranks) < BASE_HOME_SERVERS
--- a/violetdoor/balancing/admission.py
+++ b/violetdoor/balancing/admission.py
@@ -8,7 +8,7 @@
 import math
 
 from violetdoor.balancing.actions import FailRequest, Reject
-from violetdoor.balancing.budget import forecast, set_limit, tiered_budget
+from violetdoor.balancing.budget import forecast, set_connection_limit, tiered_budget
 from violetdoor.balancing.context import Context
 from violetdoor.balancing.events import ConnectionAdopted, RequestArrived, ServerEntry
 from violetdoor.balancing.model import Request, Server, Tenant
@@ -38,7 +38,7 @@
             self.place(request)
             return
         request.tenant.queue.append(request)
-        if self.retries.holds_back(request):
+        if self.retries.is_in_reconnect_backoff(request):
             self.reject(request)
             return
         # In the second half of its time there would be too little left to set the connection up.
@@ -156,7 +156,7 @@
         priorities = [tenant.priority_weight for tenant in active]
         budgets = tiered_budget(forecasts, [guarantee] * len(active), priorities, capacity)
         for tenant, budget in zip(active, budgets, strict=True):
-            set_limit(tenant, budget)
+            set_connection_limit(tenant, budget)
             self.drain_queue(tenant)
 
     def active_tenants(self) -> list[Tenant]:
--- a/violetdoor/balancing/balancer.py
+++ b/violetdoor/balancing/balancer.py
@@ -84,7 +84,7 @@
         first_fraction = context.random.uniform(MIN_FIRST_INTERVAL_FRACTION, 1.0)
         self._interval_ends_at_ms = now_ms + BUDGET_INTERVAL_MS * first_fraction
         self.handlers: dict[type, Callable[[Any], None]] = {
-            ServerListUpdate: self.server_list.updated,
+            ServerListUpdate: self.server_list.apply_update,
             RequestArrived: self.admission.request_arrived,
             ConnectionAdopted: self.admission.connection_adopted,
             ConnectionEstablished: self._connection_established,
@@ -146,7 +146,7 @@
         self.load.load_per_weight = event.load_per_weight or math.inf
         self.load_reports.min_setup_ms = event.min_setup_ms or math.inf
         self.retries.timeout_fraction = event.timeout_fraction
-        self.server_list.updated(event.server_list)
+        self.server_list.apply_update(event.server_list)
         for row in event.servers:
             server = self.servers.get(row.name)
             if server is None or server.entry.started_at_ms != row.started_at_ms:
@@ -194,9 +194,9 @@
         for server in self.servers.values():
             self.outliers.recover(server)
             self.slow_start.schedule_first_turn(server)  # it has none if capacity was not known before
-            self.load_reports.expire(server)
+            self.load_reports.expire_load(server)
             self.health_checks.start_periodic(server)
-        self.load.forget_sent_load()
+        self.load.decay_sent_load()
 
     def _ready_weight(self) -> float:
         """Return the listed weight of the servers that take new connections, less for those that warm up."""
@@ -224,7 +224,7 @@
         request.server = None
         server.connections.pop(request.id, None)
         self._learn_from_attempt(server, event)
-        self.retries.note_execution(request, server, event)
+        self.retries.record_possible_execution(request, server, event)
         if event.is_final:
             self.admission.finish(request)
         elif self.retries.may_retry(request, event.result):
@@ -255,11 +255,11 @@
             self.outliers.record_failure(server, AttemptResult.OVERLOADED if is_error else event.result)
         else:
             if has_reset_connection:  # it runs: it had too much
-                self.retries.hold_back_reconnects()
+                self.retries.start_reconnect_backoff()
             if self.context.settings.health_checks_are_timed:
                 self.timed_health_checks.finish(server, event.latency_ms)
             else:
                 self.load_reports.record(server, event.load_report)
-        for request in self.health_checks.finish_waiting(server):
+        for request in self.health_checks.pop_waiting_requests(server):
             if request.candidates and not any(each.is_check_pending for each in request.candidates):
                 self.admission.choose_server(request)
--- a/violetdoor/balancing/budget.py
+++ b/violetdoor/balancing/budget.py
@@ -54,7 +54,7 @@
     return max(0.0, tenant.last_demand + tenant.smoothed_change + deviation)
 
 
-def set_limit(tenant: Tenant, budget: float) -> None:
+def set_connection_limit(tenant: Tenant, budget: float) -> None:
     """Set the connection limit that admission control goes by, as in the paper's section 3.2.
 
     It is the budget over the minimum rate of a connection, here the mean load of the tenant's connections,
--- a/violetdoor/balancing/events.py
+++ b/violetdoor/balancing/events.py
@@ -27,7 +27,7 @@
         return self in (ServerListKind.COMPLETE, ServerListKind.CACHED)
 
     @property
-    def is_stale(self) -> bool:
+    def requires_poll(self) -> bool:
         """Whether it brings no news of service discovery, so that the list has to be polled."""
         return self in (ServerListKind.FAILED, ServerListKind.CACHED)
 
--- a/violetdoor/balancing/group_affinity.py
+++ b/violetdoor/balancing/group_affinity.py
@@ -14,8 +14,10 @@
 from violetdoor.balancing.outlier_detection import OutlierDetector
 from violetdoor.balancing.slow_start import SlowStart
 
-MIN_HOME_SERVERS = 5  # servers that a group goes to at one relay
-HOME_SERVERS_PER_LOG_RELAY = 0.3  # servers fewer by the logarithm of relays: together they find others full
+BASE_HOME_SERVERS = 5  # servers that a group goes to at one relay
+HOME_SERVER_REDUCTION_PER_LOG_RELAYS = (
+    0.3  # servers fewer by the logarithm of relays: together they find others full
+)
 MIN_WEIGHT = 1e-9  # guards a division by the weight of a server that is to get nothing
 HASH_RANGE = 2**32  # values of a CRC-32
 
@@ -33,7 +35,7 @@
         self.slow_start = slow_start
         self._orders: dict[int, list[Server]] = {}
 
-    def forget_orders(self) -> None:
+    def clear_orders(self) -> None:
         """Work out the orders anew, after a change of the server list."""
         self._orders.clear()
 
@@ -61,9 +63,9 @@
         start = self.context.random.randrange(1, max(2, len(homes))) if skips_first else 0
         found: list[Server] = []
         for server in homes[start:] + homes[:start]:
-            if self.load.lacks_capacity(server) or not self.outliers.draw_turn(request, server):
+            if self.load.lacks_capacity(server) or not self.outliers.sample_eligibility(request, server):
                 continue
-            if self.slow_start.take_turn(server, request.load):
+            if self.slow_start.try_consume_turn(server, request.load):
                 found.append(server)
                 if len(found) == limit:
                     break
@@ -77,7 +79,7 @@
         certain_fraction = others * (1 - (1 + others) ** -0.5) / len(requests)
         fleet_load = self.load.fleet_load or TYPICAL_FLEET_LOAD
         more = certain_fraction * len(self.context.servers) * fleet_load / TARGET_LOAD
-        fewer = HOME_SERVERS_PER_LOG_RELAY * math.log(self.context.settings.relay_count)
-        count = MIN_HOME_SERVERS + int(more) - int(fewer)
+        fewer = HOME_SERVER_REDUCTION_PER_LOG_RELAYS * math.log(self.context.settings.relay_count)
+        count = BASE_HOME_SERVERS + int(more) - int(fewer)
         usable = [s for s in self.server_order(group) if s.is_ready and not self.outliers.is_ejected(s)]
         return usable[:count]
--- a/violetdoor/balancing/health_checks.py
+++ b/violetdoor/balancing/health_checks.py
@@ -9,7 +9,7 @@
 from violetdoor.balancing.context import Context
 from violetdoor.balancing.model import Request, Server
 
-HEALTH_CHECK_WAIT_MS = 60.0  # that a placement waits for health checks: several of their usual times
+MAX_HEALTH_CHECK_WAIT_MS = 60.0  # that a placement waits for health checks: several of their usual times
 CONNECTIONS_PER_CHECK = 20  # connections to a server for one timed check of it each interval
 
 
@@ -42,7 +42,7 @@
         if len(server.connections) > CONNECTIONS_PER_CHECK * self.context.random.random():
             self.start(server)
 
-    def finish_waiting(self, server: Server) -> list[Request]:
+    def pop_waiting_requests(self, server: Server) -> list[Request]:
         """Return the requests that waited for this check, unless a second one is pending."""
         if server.is_check_pending:
             return []
--- a/violetdoor/balancing/load_estimation.py
+++ b/violetdoor/balancing/load_estimation.py
@@ -14,7 +14,7 @@
 MIN_FLEET_LOAD = 0.05  # least load over capacity of the fleet that capacity is derived from
 MAX_REPORTED_LOAD = 1.5  # what one report counts in the fleet's mean at the most
 FLEET_SMOOTHING_FACTOR = 0.1  # weight of one report in the fleet's mean: about ten are remembered
-INTERVAL_SMOOTHING_FACTOR = 0.3  # part of the load sent that is still counted an interval later
+SENT_LOAD_DECAY_FACTOR = 0.3  # part of the load sent that is still counted an interval later
 MAX_LOCAL_LOAD = 0.3  # most load over capacity that connections of this relay may count for beyond reports
 MAX_LOAD_PER_WEIGHT = 1e9  # stands for a capacity that is not known yet, where infinity would make NaN
 OVERLOAD_REPORT_LIFETIME_MS = (
@@ -35,7 +35,7 @@
         self.load_per_weight = math.inf
         self.sent_load = 0.0  # load that this relay sent to servers lately
 
-    def held_load(self) -> float:
+    def total_connection_load(self) -> float:
         """Return the load of all connections of this process."""
         return sum(tenant.load for tenant in self.context.tenants.values())
 
@@ -43,7 +43,7 @@
         """Learn the fleet's capacity once an interval; return this relay's part, inf if not contended."""
         servers = self.context.servers.values()
         fleet_load = self._assumed_fleet_load()
-        load = self.held_load() + sum(server.sibling_load for server in servers)
+        load = self.total_connection_load() + sum(server.sibling_load for server in servers)
         if load > 0:
             weight = max(MIN_TOTAL_WEIGHT, total_weight)
             observed = load * self.context.settings.relay_count / (fleet_load * weight)
@@ -62,9 +62,9 @@
         overloaded_fraction = overloaded / max(1, len(servers))
         return TYPICAL_FLEET_LOAD + (OVERLOADED_LOAD - TYPICAL_FLEET_LOAD) * overloaded_fraction
 
-    def forget_sent_load(self) -> None:
+    def decay_sent_load(self) -> None:
         """Let what was sent count less with each interval, since newer reports include it."""
-        self.sent_load *= INTERVAL_SMOOTHING_FACTOR
+        self.sent_load *= SENT_LOAD_DECAY_FACTOR
 
     def add_report(self, load: float) -> None:
         """Take one server's reported load over capacity into the fleet's mean."""
@@ -74,7 +74,7 @@
         else:
             self.fleet_load += FLEET_SMOOTHING_FACTOR * (load - self.fleet_load)
 
-    def projected(self, server: Server, load: float) -> float:
+    def projected_load(self, server: Server, load: float) -> float:
         """Return load over capacity with a further connection of this load.
 
         What the server carries is reported, else the fleet's mean, else guessed from this relay's own
@@ -98,7 +98,7 @@
 
         Guards against a rush to servers that all relays see capacity at.
         """
-        total = max(self.sent_load, 1e-9, self.held_load())
+        total = max(self.sent_load, 1e-9, self.total_connection_load())
         return min(MAX_LOCAL_LOAD, (self.fleet_load or 0.0) * self.sent_load / total)
 
     def lacks_capacity(self, server: Server) -> bool:
@@ -107,7 +107,7 @@
         An old report bars no server, or it would never be checked again.
         """
         if server.load is None:
-            return self.fleet_load is None and self.projected(server, 0.0) >= TARGET_LOAD
+            return self.fleet_load is None and self.projected_load(server, 0.0) >= TARGET_LOAD
         if server.load < TARGET_LOAD:
             return False
         age_ms = self.context.now_ms - server.reported_at_ms
--- a/violetdoor/balancing/load_reports.py
+++ b/violetdoor/balancing/load_reports.py
@@ -107,7 +107,7 @@
             retained_fraction = max(0.0, 1 - delay_ms / MIGRATION_INTERVAL_MS) / overload_factor
             self.migration.migrate(server, min(MAX_MIGRATED_FRACTION, 1 - retained_fraction))
 
-    def expire(self, server: Server) -> None:
+    def expire_load(self, server: Server) -> None:
         """Forget an old observation where nothing reports load: no report would show a recovery."""
         if self.context.settings.health_checks_report_load:
             return
--- a/violetdoor/balancing/model.py
+++ b/violetdoor/balancing/model.py
@@ -65,7 +65,7 @@
         """Its name on the server list."""
         return self.entry.name
 
-    def forget_previous_process(self) -> None:
+    def reset_learned_state(self) -> None:
         """Reset what was true of the server's previous process."""
         self.load = None
         self.reported_at_ms = -math.inf
--- a/violetdoor/balancing/outlier_detection.py
+++ b/violetdoor/balancing/outlier_detection.py
@@ -45,7 +45,7 @@
         """Raise a server's health once an interval."""
         server.health = min(1.0, server.health * HEALTH_FACTOR_PER_INTERVAL)
 
-    def draw_turn(self, request: Request, server: Server) -> bool:
+    def sample_eligibility(self, request: Request, server: Server) -> bool:
         """Draw whether a server uses its turn: never for a retry there, in part of them after failures."""
         return server not in request.tried_servers and self.context.random.random() < server.health
 
--- a/violetdoor/balancing/retries.py
+++ b/violetdoor/balancing/retries.py
@@ -6,7 +6,7 @@
 
 from violetdoor.balancing.context import Context
 from violetdoor.balancing.events import AttemptEnded, AttemptResult
-from violetdoor.balancing.health_checks import HEALTH_CHECK_WAIT_MS
+from violetdoor.balancing.health_checks import MAX_HEALTH_CHECK_WAIT_MS
 from violetdoor.balancing.model import Request, Server
 from violetdoor.balancing.settings import DeduplicationScope, ExecutionSemantics
 from violetdoor.balancing.slow_start import SlowStart
@@ -26,7 +26,7 @@
         self.context = context
         self.slow_start = slow_start
         self.timeout_fraction = 0.0
-        self._reconnects_allowed_at_ms = -math.inf
+        self._reconnect_backoff_ends_at_ms = -math.inf
 
     def attempt_succeeded(self) -> None:
         """Count an attempt that did not time out."""
@@ -40,16 +40,16 @@
         """Return whether so much times out that no single server is the cause."""
         return self.timeout_fraction >= MAX_TIMEOUT_FRACTION
 
-    def hold_back_reconnects(self) -> None:
+    def start_reconnect_backoff(self) -> None:
         """Reject reconnects for a while, after a running server reset a connection: it had too much."""
         count = max(MIN_CONNECTIONS_FOR_BACKOFF, len(self.context.requests))
-        self._reconnects_allowed_at_ms = self.context.now_ms + RECONNECT_BACKOFF_MS / count
+        self._reconnect_backoff_ends_at_ms = self.context.now_ms + RECONNECT_BACKOFF_MS / count
 
-    def holds_back(self, request: Request) -> bool:
+    def is_in_reconnect_backoff(self, request: Request) -> bool:
         """Return whether to reject a reconnect: each has others reset, a storm that feeds itself."""
-        return request.is_reconnect and self.context.now_ms < self._reconnects_allowed_at_ms
+        return request.is_reconnect and self.context.now_ms < self._reconnect_backoff_ends_at_ms
 
-    def note_execution(self, request: Request, server: Server, event: AttemptEnded) -> None:
+    def record_possible_execution(self, request: Request, server: Server, event: AttemptEnded) -> None:
         """Remember the first attempt that may have been executed."""
         if event.result.proves_not_executed or request.first_executor is not None:
             return
@@ -86,22 +86,22 @@
         fraction = self.context.random.uniform(MIN_RETRY_AFTER_FRACTION, 1)
         return self.context.settings.max_retry_after_ms * fraction
 
-    def is_bound_to_executor(self, request: Request) -> bool:
+    def requires_deduplication(self, request: Request) -> bool:
         """Return whether a retry has to go where the request's effect is known to be deduplicated."""
         if request.first_executor is None:
             return False
         return request.request_class.semantics is not ExecutionSemantics.IDEMPOTENT
 
-    def can_deduplicate(self, request: Request, server: Server) -> bool:
+    def accepts_deduplicated_retry(self, request: Request, server: Server) -> bool:
         """Return whether a server drops a request that may have been executed, and has a turn."""
         request_class = request.request_class
         if request_class.semantics is not ExecutionSemantics.DEDUPLICATED:
             return False
-        if self.context.now_ms + 2 * HEALTH_CHECK_WAIT_MS > request.start_by_ms:
+        if self.context.now_ms + 2 * MAX_HEALTH_CHECK_WAIT_MS > request.start_by_ms:
             return False
         if not server.is_ready or not self._is_in_scope(request, server):
             return False
-        return self.slow_start.take_turn(server, request.load)
+        return self.slow_start.try_consume_turn(server, request.load)
 
     @staticmethod
     def _is_in_scope(request: Request, server: Server) -> bool:
--- a/violetdoor/balancing/server_list.py
+++ b/violetdoor/balancing/server_list.py
@@ -32,16 +32,16 @@
         self.rotation = rotation
         self._failed_polls = 0  # in a row; a cached list counts as one
 
-    def updated(self, event: ServerListUpdate) -> None:
+    def apply_update(self, event: ServerListUpdate) -> None:
         """Take in the list, a change of it, or a poll that failed."""
-        if self.context.settings.polls_server_list and event.kind.is_stale:
+        if self.context.settings.polls_server_list and event.kind.requires_poll:
             self._failed_polls += 1
             self._schedule_poll(event)
         else:
             self._failed_polls = 0
         for entry in event.entries:
             self._update_server(entry)
-        self.groups.forget_orders()
+        self.groups.clear_orders()
         servers = self.context.servers
         listed = {entry.name for entry in event.entries} if event.kind.is_complete else servers.keys()
         removed = [
@@ -70,7 +70,7 @@
         if server is None:
             server = self.context.servers[entry.name] = Server(entry)
         if server.entry.started_at_ms != entry.started_at_ms:
-            server.forget_previous_process()
+            server.reset_learned_state()
         server.entry = entry
         server.is_ready = entry.state is ServerState.READY and entry.weight > 0
         if server.is_ready and not server.is_in_rotation:
--- a/violetdoor/balancing/slow_start.py
+++ b/violetdoor/balancing/slow_start.py
@@ -40,11 +40,11 @@
         if not is_unscheduled or self.load.load_per_weight == math.inf:
             return
         if self.capacity_fraction(server) < 1:
-            mean_load = self.load.held_load() / max(1, len(self.context.requests))
+            mean_load = self.load.total_connection_load() / max(1, len(self.context.requests))
             interval_ms = self._turn_interval_ms(server, mean_load)
             server.next_turn_at_ms = self.context.now_ms + self.context.random.random() * interval_ms
 
-    def take_turn(self, server: Server, load: float) -> bool:
+    def try_consume_turn(self, server: Server, load: float) -> bool:
         """Return whether a server may take this load now; one that warms up uses up its turn by that."""
         is_due = self.context.now_ms >= server.next_turn_at_ms
         is_warming_up = self.capacity_fraction(server) < 1
--- a/violetdoor/balancing/timed_health_checks.py
+++ b/violetdoor/balancing/timed_health_checks.py
@@ -14,7 +14,7 @@
 CHECK_JITTER_MS = 0.2  # time that a check varies by without any load
 NETWORK_JITTER_FRACTION = 0.3  # part of the network's time that a check varies by
 LOCAL_PAUSE_MS = 100.0  # checks that end within it may all be late because of a pause of this relay itself
-MIN_LATE_SERVERS_IN_LOCAL_PAUSE = 3  # so many late servers, and none in time, are taken for such a pause
+MIN_SLOW_SERVERS_IN_LOCAL_PAUSE = 3  # so many late servers, and none in time, are taken for such a pause
 
 
 class TimedHealthChecks:
@@ -25,7 +25,7 @@
         self.context = context
         self.health_checks = health_checks
         self.load_reports = load_reports
-        self.last_in_time_at_ms = -math.inf  # when a check of any server was last in time
+        self.last_fast_check_at_ms = -math.inf  # when a check of any server was last in time
 
     def finish(self, server: Server, latency_ms: float) -> None:
         """Derive a server's load from its check's time; a second check guards against short pauses."""
@@ -33,7 +33,7 @@
         server.min_health_check_ms = min(server.min_health_check_ms, latency_ms)
         load = self._load_from_latency(server, latency_ms)
         if load < TARGET_LOAD:
-            self.last_in_time_at_ms = context.now_ms
+            self.last_fast_check_at_ms = context.now_ms
             server.was_last_check_slow = False
             # Messages that were late a moment ago still wait for the work in the server's backlog.
             if context.now_ms - server.message_delay_at_ms > MESSAGE_DELAY_LIFETIME_MS:
@@ -62,4 +62,4 @@
         """Return whether this relay itself paused: sound servers would be emptied otherwise."""
         since_ms = self.context.now_ms - LOCAL_PAUSE_MS
         late = sum(1 for server in self.context.servers.values() if server.slow_check_at_ms > since_ms)
-        return self.last_in_time_at_ms <= since_ms and late >= MIN_LATE_SERVERS_IN_LOCAL_PAUSE
+        return self.last_fast_check_at_ms <= since_ms and late >= MIN_SLOW_SERVERS_IN_LOCAL_PAUSE
--- a/violetdoor/balancing/weighted_round_robin.py
+++ b/violetdoor/balancing/weighted_round_robin.py
@@ -78,7 +78,8 @@
         return [
             server
             for server in due[:limit]
-            if self.slow_start.take_turn(server, request.load) and self.outliers.draw_turn(request, server)
+            if self.slow_start.try_consume_turn(server, request.load)
+            and self.outliers.sample_eligibility(request, server)
         ]
 
     def _add_from(
@@ -97,5 +98,5 @@
             heapq.heapreplace(turns, (turn + 1 / server.entry.weight, tie_breaker, server))
             if server in found or self.slow_start.capacity_fraction(server) < 1:
                 continue
-            if self.outliers.draw_turn(request, server):
+            if self.outliers.sample_eligibility(request, server):
                 found.append(server)
