--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -47,7 +47,7 @@
         core.balancer.handlers[TimerFired] = lambda _: fired_at.append(monotonic_ms())
         time.sleep(0.03)
         at = monotonic_ms() + 10
-        core.carry_out(SetTimer("x", at))
+        core.execute_action(SetTimer("x", at))
         while not fired_at:
             await asyncio.sleep(0.001)
         assert fired_at[0] >= at
--- a/violetdoor/core/controller.py
+++ b/violetdoor/core/controller.py
@@ -105,9 +105,9 @@
     def handle(self, event: Event) -> None:
         """Give the module an event, carry out what it returns."""
         for action in self.balancer.handle(self.now(), event):
-            self.carry_out(action)
+            self.execute_action(action)
 
-    def carry_out(self, action: Action) -> None:
+    def execute_action(self, action: Action) -> None:
         """Carry out one action of the module."""
         match action:
             case StartAttempt() | Reject() | FailRequest():
@@ -138,9 +138,9 @@
         )
         self.handle(SettingsChanged(self.settings))
         if len(self.settings.classes) > len(settings.classes):
-            self.loop.call_later(REMOVED_CLASS_TTL_SECONDS, self._forget_removed_classes)
+            self.loop.call_later(REMOVED_CLASS_TTL_SECONDS, self._drop_removed_classes)
 
-    def _forget_removed_classes(self) -> None:
+    def _drop_removed_classes(self) -> None:
         """Guard against classes of all settings that ever held: their objectives would count for ever."""
         self.settings = replace(self.settings, classes=self._configured_settings.classes)
         self.handle(SettingsChanged(self.settings))
@@ -183,7 +183,7 @@
             return False
         if server not in self.overrides.bans:
             self.overrides.bans[server] = since_ms
-            self._emit_endpoint(server)
+            self._send_endpoint_update(server)
             self._ban_evacuation.start(server)
         return True
 
@@ -192,7 +192,7 @@
         if server not in self.endpoints.known_names:
             return False
         if self.overrides.lift_ban(server, self.now()):
-            self._emit_endpoint(server)
+            self._send_endpoint_update(server)
         return True
 
     def mark_draining(self, server: str, *, reported_by_peer: bool = False) -> None:
@@ -207,7 +207,7 @@
         if self.overrides.has_reported_draining(effective):
             return
         self.record_self_reported_draining({server: effective.started_at_ms})
-        self._emit_endpoint(server)
+        self._send_endpoint_update(server)
         if not reported_by_peer:
             self.on_server_draining(server)
 
@@ -223,9 +223,9 @@
         """Go by the list again, which may have said anything meanwhile."""
         if self.overrides.self_reported_draining.get(server) == started_at:
             del self.overrides.self_reported_draining[server]
-            self._emit_endpoint(server)
+            self._send_endpoint_update(server)
 
-    def _emit_endpoint(self, server: str) -> None:
+    def _send_endpoint_update(self, server: str) -> None:
         """Tell the module how a server's entry is now that its overrides have changed."""
         update = self.endpoints.current_update(server)
         if update is not None:
@@ -293,7 +293,7 @@
         self.unresponsive_servers.last_answer_at[server] = now
         self.message_delays.add(server, now - sent_at_ms)
 
-    def forget(self, request: RequestHandle) -> None:
+    def remove_request(self, request: RequestHandle) -> None:
         """Drop a request that is over."""
         self.requests.pop(request.request_id, None)
         at_server = self.established.get(request.server)
--- a/violetdoor/core/delays.py
+++ b/violetdoor/core/delays.py
@@ -84,7 +84,7 @@
         return reports
 
 
-def choose_reporting_connection(
+def select_reporting_connection(
     connections: Mapping[int, TimedConnectionT],
 ) -> TimedConnectionT | None:
     """Return the connection to report a server's delay on: one with the shortest objective."""
@@ -123,7 +123,7 @@
             for server, requests in self._established.items()
         }
         for server, delay in self._delays.close_window(ages):
-            request = choose_reporting_connection(self._established.get(server, {}))
+            request = select_reporting_connection(self._established.get(server, {}))
             if request is not None:
                 self._emit(
                     ConnectionMeasured(
--- a/violetdoor/core/request_handle.py
+++ b/violetdoor/core/request_handle.py
@@ -64,7 +64,7 @@
     def record_answer(self, server: str, sent_at_ms: float) -> None:
         """Record that a server answered a message that was sent to it at this time."""
 
-    def forget(self, request: RequestHandle) -> None:
+    def remove_request(self, request: RequestHandle) -> None:
         """Drop a request whose owner has ended."""
 
 
@@ -188,7 +188,7 @@
             AttemptEnded(self.request_id, self.attempt, self.server, result, latency, is_final, load_report)
         )
         if is_final:
-            self._controller.forget(self)
+            self._controller.remove_request(self)
 
     def client_disconnected(self) -> None:
         """Report that the client disconnected before its connection was established."""
@@ -207,7 +207,7 @@
         if not self.is_finished:
             self.is_finished = True
             self._controller.handle(RequestAbandoned(self.request_id))
-        self._controller.forget(self)
+        self._controller.remove_request(self)
 
 
 EstablishedByServer = dict[str, dict[int, RequestHandle]]  # by server, then by request id
