--- a/violetdoor/balancing/events.py
+++ b/violetdoor/balancing/events.py
@@ -1,6 +1,6 @@
-"""Events: everything that the decision module is told, and the types that they are made of.
+"""Events: all input of the decision module, and the types that events consist of.
 
-Times are milliseconds on the relay's own clock, loads are work a second in the unit of the load hints.
+Times are in milliseconds on the relay's own clock. Loads are work per second in the unit of the load hints.
 """
 
 from __future__ import annotations
@@ -14,38 +14,38 @@
 
 
 class ServerListKind(Enum):
-    """What a server list update is; its values are stored in the state of an upgrade."""
+    """The kind of a server list update; the values are stored in upgrade snapshots."""
 
-    INCREMENTAL = "changes"  # entries that changed
+    INCREMENTAL = "changes"  # only entries that changed
     COMPLETE = "complete"  # all entries
-    CACHED = "remembered"  # all entries as an earlier process knew them; may be outdated
-    FAILED = "refused"  # no entries: the poll failed
+    CACHED = "remembered"  # all entries as known to an earlier process; may be outdated
+    FAILED = "refused"  # no entries, since the poll failed
 
     @property
     def is_complete(self) -> bool:
-        """Whether a server that is not in it is removed."""
+        """Whether servers that are missing from the update are removed."""
         return self in (ServerListKind.COMPLETE, ServerListKind.CACHED)
 
     @property
     def requires_poll(self) -> bool:
-        """Whether it brings no news of service discovery, so that the list has to be polled."""
+        """Whether the update has no current data of service discovery, so that the list must be polled."""
         return self in (ServerListKind.FAILED, ServerListKind.CACHED)
 
 
 class ServerState(Enum):
-    """What the server list says of a server; its values are stored in the state of an upgrade."""
+    """State of a server on the server list; the values are stored in upgrade snapshots."""
 
     READY = "ready"
-    DRAINING = "draining"  # takes no new connections; open ones go on
+    DRAINING = "draining"  # accepts no new connections; open ones continue
     REMOVED = "gone"
 
 
 class AttemptResult(Enum):
-    """How an attempt or a health check ended; the counters `attempt_VALUE` have these values."""
+    """Result of an attempt or a health check; the values are part of the counter names `attempt_VALUE`."""
 
     OK = "ok"
     ERROR = "error"
-    OVERLOADED = "full"  # the server rejected it for lack of capacity
+    OVERLOADED = "full"  # the server rejected it because it lacks capacity
     TIMEOUT = "timeout"
     UNREACHABLE = "unreachable"
     RESET = "reset"
@@ -54,14 +54,14 @@
 
     @property
     def proves_not_executed(self) -> bool:
-        """Whether the result proves that the request had no effect."""
+        """Whether the result proves that the server did not execute the request."""
         return self in (AttemptResult.OVERLOADED, AttemptResult.UNREACHABLE, AttemptResult.NOT_SENT)
 
 
 class MeasurementKind(Enum):
-    """What was measured of an open connection."""
+    """The quantity that was measured on an open connection."""
 
-    LOAD = "load"  # work a second that it causes at its server, in the unit of the load hints
+    LOAD = "load"  # work per second that it causes at its server, in the unit of the load hints
     MESSAGE_DELAY = "delay"  # ms that one of its messages took at its server
 
 
@@ -71,42 +71,42 @@
 
     name: str
     zone: str = ""
-    machine_type: str = ""  # servers of one type are about equally fast
-    cell: int = 0  # servers of one cell share which idempotency keys they have seen
+    machine_type: str = ""  # servers of the same type are about equally fast
+    cell: int = 0  # servers of the same cell share the idempotency keys that they have seen
     state: ServerState = ServerState.READY
-    weight: float = 1.0  # capacity in relation to other servers
-    started_at_ms: float = 0.0  # start of its process; 0: not known, long ago
+    weight: float = 1.0  # capacity relative to other servers
+    started_at_ms: float = 0.0  # start of its process; 0 if unknown, which counts as long ago
 
 
 @dataclass(slots=True, frozen=True)
 class ServerListUpdate:
-    """The server list of service discovery, what changed in it, or a poll that failed."""
+    """A complete server list, changes of the list, or a failed poll."""
 
     kind: ServerListKind
     entries: tuple[ServerEntry, ...] = ()
     version: int = 0
-    next_poll_within_ms: float = math.inf  # time in which the poll after a failed one has to begin
+    next_poll_within_ms: float = math.inf  # after a failed poll: longest time from now until the next one
 
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
-    """A client's request for a connection has arrived; it needs one final answer within `time_left_ms`."""
+    """A client requested a connection; it must get exactly one final answer within `time_left_ms`."""
 
     request_id: int
     request_class: str
     time_left_ms: float
     tenant: str = ""
     idempotency_key: int | None = None
-    load: float | None = None  # hint of the load that the connection will cause; none: there is no hint
-    group: int | None = None  # connections of one group share work at a server
-    is_retry: bool = False  # the client says that it sends the request again
-    is_mid_stream: bool = False  # its connection is open already, and its packets come this way from now on
-    is_reconnect: bool = False  # its connection was migrated or broke before
+    load: float | None = None  # load hint: expected load of the connection; None without a hint
+    group: int | None = None  # connections of the same group share work at a server
+    is_retry: bool = False  # the client declares that it has sent the request before
+    is_mid_stream: bool = False  # its connection is already open and moves to this relay
+    is_reconnect: bool = False  # its previous connection was migrated or broken
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionAdopted:
-    """A connection was open through this relay when the balancer started."""
+    """A connection through this relay was already open when the balancer started."""
 
     request_id: int
     request_class: str
@@ -122,14 +122,14 @@
     """An attempt succeeded: the connection to the server is open."""
 
     request_id: int
-    attempt: int  # 0 for the first of the request
+    attempt: int  # number of the attempt within its request, from 0
     server: str
-    latency_ms: float  # since the attempt was started
+    latency_ms: float  # time since the start of the attempt
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionMeasured:
-    """An open connection was measured: its load, or the delay of a message at its server."""
+    """The load of an open connection, or the delay of one of its messages at its server, was measured."""
 
     request_id: int
     attempt: int
@@ -140,7 +140,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt or its open connection ended; final where the request needs no answer any more."""
+    """An attempt or its open connection ended; `is_final` if the request needs no further answer."""
 
     request_id: int
     attempt: int
@@ -153,7 +153,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestAbandoned:
-    """The client disconnected: the request is over."""
+    """The client disconnected, which ends its request."""
 
     request_id: int
 
@@ -177,7 +177,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LearnedServerState:
-    """What a relay has learned of one server; the fields are those of `violetdoor.balancing.model.Server`."""
+    """Learned state of one server; its fields are described at `violetdoor.balancing.model.Server`."""
 
     name: str
     started_at_ms: float
@@ -190,19 +190,19 @@
 
 @dataclass(slots=True, frozen=True)
 class LearnedState:
-    """All that a relay has learned; as an event, what the previous process of this relay had learned."""
+    """The learned state of a relay; as an event, that of the previous process of this relay."""
 
-    fleet_load: float | None  # mean load over capacity of all servers; none: nothing reported any
-    load_per_weight: float | None  # load of all relays that fills a unit of listed weight
-    min_setup_ms: float | None  # shortest mean time that setting up a connection takes at a server
-    timeout_fraction: float  # of the latest attempts
+    fleet_load: float | None  # mean load over capacity of all servers; None without any report
+    load_per_weight: float | None  # load that fills a unit of listed weight; None or inf: unknown
+    min_setup_ms: float | None  # lowest smoothed set-up time of any server; None or inf: unknown
+    timeout_fraction: float  # moving average over the latest attempts
     servers: tuple[LearnedServerState, ...] = ()
     server_list: ServerListUpdate = field(default_factory=lambda: ServerListUpdate(ServerListKind.CACHED))
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionTotal:
-    """Load and number of some connections."""
+    """Total load and number of a set of connections."""
 
     load: float
     count: int
@@ -210,21 +210,21 @@
 
 @dataclass(slots=True, frozen=True)
 class SiblingProcessLoad:
-    """During an upgrade: the open connections of the other process of this relay, by server."""
+    """During an upgrade: the open connections of the other process of this relay, by server name."""
 
     servers: Mapping[str, ConnectionTotal]
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """New settings are in force; requests under way keep the class that they came with."""
+    """The settings changed; existing requests keep the request class settings from their arrival."""
 
     settings: BalancerSettings
 
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """Bytes from another relay."""
+    """A message from another relay."""
 
     sender: int
     data: bytes
