--- a/violetdoor/balancing/admission.py
+++ b/violetdoor/balancing/admission.py
@@ -1,6 +1,6 @@
-"""Admission control: requests queue at their tenant's connection limit and are paced over its budget.
+"""Admission control: requests queue at their tenant's connection limit and are delayed above its budget.
 
-After King, Song and Dias, section 3.2 (admission control) and, for the delay over budget, section 3.3.
+Based on King, Song and Dias, section 3.2 (admission control) and section 3.3 (delay above the budget).
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 from violetdoor.balancing.placement import Placement
 from violetdoor.balancing.retries import RetryPolicy
 
-PACING_DELAY_MS = 200.0  # that a connection of mean load waits for each budget that its tenant is over
-DEFAULT_LOAD = 1.0  # of a request without a load hint
-CLOCK_TOLERANCE_MS = 1.0  # clocks round: a timer that is early by less counts as due
+PACING_DELAY_MS = 200.0  # delay of a connection of mean load while its tenant is at twice its budget
+DEFAULT_LOAD = 1.0  # load assumed for a request without a load hint
+CLOCK_TOLERANCE_MS = 1.0  # clocks round: a timer that fires up to this much early counts as due
 
 
 class Admission:
-    """Owns tenants and requests, from their arrival to their last answer."""
+    """Owns the tenants, and the requests from arrival to end."""
 
     def __init__(self, context: Context, placement: Placement, retries: RetryPolicy) -> None:
-        """Take the parts that admitted requests go to."""
+        """Use `placement` to choose servers and `retries` to decide on rejections."""
         self.context = context
         self.placement = placement
         self.retries = retries
 
     def request_arrived(self, event: RequestArrived) -> None:
-        """Queue a request and admit what may go; one of an open connection skips limit and pacing."""
+        """Queue a request and admit what the limit allows; a mid-stream request skips limit and pacing."""
         request = self.register(event, self.context.now_ms + event.time_left_ms)
         request.is_reconnect = event.is_reconnect
         if event.is_mid_stream:
@@ -41,14 +41,14 @@
         if self.retries.is_in_reconnect_backoff(request):
             self.reject(request)
             return
-        # In the second half of its time there would be too little left to set the connection up.
+        # Rejected if still queued after half of its time: the rest would be too short to set up a connection.
         self.context.set_stage_timer(request, self.context.now_ms + event.time_left_ms / 2)
         self.drain_queue(request.tenant)
         if not request.is_admitted:
             request.tenant.unserved_load += request.load
 
     def connection_adopted(self, event: ConnectionAdopted) -> None:
-        """Count a connection that was open before this balancer started."""
+        """Register a connection that was open before this balancer started."""
         request = self.register(event, math.inf)
         server = self.context.servers.get(event.server) or Server(ServerEntry(event.server))
         request.server = server
@@ -57,7 +57,7 @@
         self._admit(request)
 
     def register(self, event: RequestArrived | ConnectionAdopted, deadline_ms: float) -> Request:
-        """Keep a record of a new request or adopted connection; KeyError where its class is not known."""
+        """Register a new request or adopted connection; raise KeyError if its request class is unknown."""
         request_class = self.context.settings.classes[event.request_class]
         tenant = self.context.tenants.get(event.tenant)
         if tenant is None:
@@ -75,17 +75,17 @@
         request.tenant.load += request.load
 
     def place(self, request: Request) -> None:
-        """Look for a server; reject the request where none is to be found."""
+        """Start the search for a server; reject the request if there is no suitable one."""
         if not self.placement.place(request):
             self.reject(request)
 
     def choose_server(self, request: Request) -> None:
-        """Choose among the candidates by what is known of them now; reject the request where none will do."""
+        """Choose among the candidates by their current load; reject the request if none is suitable."""
         if not self.placement.choose(request):
             self.reject(request)
 
     def drain_queue(self, tenant: Tenant) -> None:
-        """Admit queued requests up to the limit; over budget, each first waits for its pacing delay."""
+        """Admit queued requests up to the limit; above the budget, each first waits for its pacing delay."""
         context = self.context
         while tenant.queue and tenant.connection_count < tenant.connection_limit:
             request = tenant.queue[0]
@@ -101,30 +101,30 @@
             self.place(request)
 
     def _pace(self, request: Request, excess: float) -> None:
-        """Let a request wait the longer, the more its tenant is over budget and the heavier it is.
+        """Delay a request in proportion to its tenant's excess over budget and to its own load.
 
-        This is the paper's delay in proportion to S - B, its load over its budget (section 3.3), and to a
-        connection's size; the integral term, E = sum of S - B, is not used: each interval sets a new budget.
+        Section 3.3 of the paper delays in proportion to S - B, load minus budget, and to the size of the
+        connection. Its integral term, E = sum of S - B, is omitted because each interval sets a new budget.
         """
         tenant = request.tenant
         delay_ms = PACING_DELAY_MS * excess * request.load * tenant.connection_count / tenant.load
         self.context.set_stage_timer(request, min(request.stage_ends_at_ms, self.context.now_ms + delay_ms))
 
     def stage_timer_fired(self, request: Request) -> None:
-        """Go on with a request whose stage has ended."""
+        """Continue a request whose current stage has ended."""
         if self.context.now_ms < request.stage_ends_at_ms - CLOCK_TOLERANCE_MS:
-            return  # the timer of an earlier stage
+            return  # this timer was set for an earlier stage
         if request.candidates:
             self.choose_server(request)
         elif request.server is None and request.is_admitted:
             self.place(request)
         elif request.server is None:
-            self.drain_queue(request.tenant)  # its pacing delay may be over
+            self.drain_queue(request.tenant)  # admits the request if its pacing delay has ended
             if not request.is_admitted:
                 self.reject(request)
 
     def reject(self, request: Request) -> None:
-        """Give the final answer: a rejection where the client may safely try again, else a failure."""
+        """Send the final answer: Reject if the client may safely try again, else FailRequest."""
         retry_after_ms = self.retries.retry_after_ms()
         if self.retries.is_safe_to_reject(request):
             self.context.actions.append(Reject(request.id, retry_after_ms))
@@ -135,7 +135,7 @@
         self.finish(request)
 
     def finish(self, request: Request) -> None:
-        """Remove a request that is over, and admit what waited for its place."""
+        """Remove a request that has ended, and admit queued requests of its tenant."""
         tenant = request.tenant
         del self.context.requests[request.id]
         request.candidates = []
@@ -143,14 +143,14 @@
             request.server.connections.pop(request.id, None)
         if request.is_admitted:
             tenant.connection_count -= 1
-            # Set to zero where no connection is left, so that rounding errors don't add up.
+            # Reset to zero without connections, so that rounding errors don't accumulate.
             tenant.load = tenant.load - request.load if tenant.connection_count else 0.0
         else:
             tenant.queue.remove(request)
         self.drain_queue(tenant)
 
     def share_capacity(self, active: list[Tenant], capacity: float) -> None:
-        """Give each active tenant a budget and a connection limit, and admit what these allow."""
+        """Set the budget and connection limit of each active tenant, and admit what they allow."""
         guarantee = capacity / max(1, len(active))
         forecasts = [forecast(tenant) for tenant in active]
         priorities = [tenant.priority_weight for tenant in active]
@@ -160,7 +160,7 @@
             self.drain_queue(tenant)
 
     def active_tenants(self) -> list[Tenant]:
-        """Return the tenants that have any demand, or had some in the last interval."""
+        """Return the tenants with demand in this interval or the last one."""
         return [
             tenant
             for tenant in self.context.tenants.values()
