--- a/violetdoor/balancing/balancer.py
+++ b/violetdoor/balancing/balancer.py
@@ -1,10 +1,10 @@
-"""The balancer: all decisions of one relay. Events go in, actions come out; it does no input or output.
+"""The balancer: all decisions of one relay. It turns events into actions and does no input or output.
 
-Each concern is a module of its own that owns its state: admission control and budget, placement with
-weighted round robin, group affinity, slow start, load estimation, outlier detection, retries, migration and
-the server list. This module wires them and dispatches events. After King, Song and Dias, "A System for
-Resource Sharing and Control of a Cluster-Based Web Server Farm"; docs/design.md says where it departs from
-that paper.
+Each concern is a separate module that owns its state: admission control and budget, placement with weighted
+round robin, group affinity, slow start, load estimation, outlier detection, retries, migration and the
+server list. This module connects them and dispatches events. The design follows King, Song and Dias, "A
+System for Resource Sharing and Control of a Cluster-Based Web Server Farm"; docs/design.md lists the
+differences from that paper.
 """
 
 from __future__ import annotations
@@ -51,18 +51,19 @@
 from violetdoor.balancing.timed_health_checks import TimedHealthChecks
 from violetdoor.balancing.weighted_round_robin import WeightedRoundRobin
 
-INTERVAL_TIMER = "tick"  # token of the timer of the next budget interval
-MIN_FIRST_INTERVAL_FRACTION = 0.1  # the first interval is shorter by chance: relays must not act together
-MIN_INTERVAL_JITTER = 0.9  # part of an interval
-MAX_INTERVAL_JITTER = 1.1  # the same, at the most
+INTERVAL_TIMER = "tick"  # token of the timer that ends a budget interval
+# The first interval is a random fraction of a full one, at least this, so that relays don't act in step.
+MIN_FIRST_INTERVAL_FRACTION = 0.1
+MIN_INTERVAL_JITTER = 0.9  # least random factor on the length of later intervals
+MAX_INTERVAL_JITTER = 1.1  # greatest random factor on the length of later intervals
 NO_CONNECTIONS = ConnectionTotal(load=0.0, count=0)
 
 
 class Balancer:
-    """One relay's decisions: give it every event, carry out the actions that it returns."""
+    """Decides for one relay: the caller passes every event and executes the returned actions in order."""
 
     def __init__(self, settings: BalancerSettings, seed: int, now_ms: float) -> None:
-        """Start at `now_ms` without servers; `seed` is for all random draws."""
+        """Start at `now_ms` without servers; `seed` initializes the random source of all decisions."""
         self.context = context = Context(settings, seed, now_ms)
         self.requests = context.requests
         self.servers = context.servers
@@ -100,7 +101,7 @@
         }
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take one event at `now_ms` and return what to do about it, in order."""
+        """Handle one event at time `now_ms` and return the actions to execute, in order."""
         context = self.context
         context.now_ms = now_ms
         actions: list[Action] = []
@@ -112,12 +113,12 @@
         return actions
 
     def avoided_servers(self) -> set[str]:
-        """Return the listed servers that get nothing new by this relay's own choice, or next to nothing."""
+        """Return the listed servers that this relay itself gives no, or almost no, new connections."""
         return self.outliers.avoided_servers()
 
     def learned_state(self) -> LearnedState:
-        """Return what was learned of the servers, for the process that takes over from this one."""
-        rows = tuple(
+        """Return the learned state, for the process that takes over from this one."""
+        server_states = tuple(
             LearnedServerState(
                 name=server.name,
                 started_at_ms=server.entry.started_at_ms,
@@ -134,28 +135,28 @@
             load_per_weight=self.load.load_per_weight,
             min_setup_ms=self.load_reports.min_setup_ms,
             timeout_fraction=self.retries.timeout_fraction,
-            servers=rows,
+            servers=server_states,
         )
 
     def _restore(self, event: LearnedState) -> None:
-        """Start from what the previous process had learned.
+        """Restore the learned state of the previous process.
 
-        The fleet's capacity comes before the server list: servers that warm up get no turn without it.
+        The fleet's capacity is set before the server list, since warming-up servers get no turn without it.
         """
         self.load.fleet_load = event.fleet_load
         self.load.load_per_weight = event.load_per_weight or math.inf
         self.load_reports.min_setup_ms = event.min_setup_ms or math.inf
         self.retries.timeout_fraction = event.timeout_fraction
         self.server_list.apply_update(event.server_list)
-        for row in event.servers:
-            server = self.servers.get(row.name)
-            if server is None or server.entry.started_at_ms != row.started_at_ms:
+        for state in event.servers:
+            server = self.servers.get(state.name)
+            if server is None or server.entry.started_at_ms != state.started_at_ms:
                 continue
-            server.load = row.load
-            server.health = row.health
-            server.smoothed_setup_ms = row.smoothed_setup_ms
-            server.min_health_check_ms = row.min_health_check_ms or math.inf
-            server.reported_at_ms = row.reported_at_ms or -math.inf
+            server.load = state.load
+            server.health = state.health
+            server.smoothed_setup_ms = state.smoothed_setup_ms
+            server.min_health_check_ms = state.min_health_check_ms or math.inf
+            server.reported_at_ms = state.reported_at_ms or -math.inf
 
     def _sibling_load_changed(self, event: SiblingProcessLoad) -> None:
         for server in self.servers.values():
@@ -167,7 +168,7 @@
         self.context.change_settings(event.settings)
 
     def _peer_message_received(self, event: PeerMessage) -> None:
-        """Ignore it: the decisions of this module need no word from other relays."""
+        """Ignore the message: decisions don't depend on messages of other relays."""
 
     def _timer_fired(self, event: TimerFired) -> None:
         if event.token == INTERVAL_TIMER:
@@ -180,7 +181,7 @@
                 self.admission.stage_timer_fired(request)
 
     def _close_interval(self) -> None:
-        """Share out capacity anew and let estimates age, once an interval."""
+        """Divide capacity among tenants and age the estimates, once per budget interval."""
         context = self.context
         jitter = context.random.uniform(MIN_INTERVAL_JITTER, MAX_INTERVAL_JITTER)
         self._interval_ends_at_ms = context.now_ms + BUDGET_INTERVAL_MS * jitter
@@ -188,18 +189,18 @@
         active = self.admission.active_tenants()
         queued = [tenant.queue[0] for tenant in active if tenant.queue]
         self.admission.share_capacity(active, capacity)
-        if queued:  # a relay whose budgets admit nothing would never see the contention end
+        if queued:  # without placements, only these health checks show that the contention has ended
             for server in self.placement.next_candidates(queued[0]):
                 self.health_checks.start(server)
         for server in self.servers.values():
             self.outliers.recover(server)
-            self.slow_start.schedule_first_turn(server)  # it has none if capacity was not known before
+            self.slow_start.schedule_first_turn(server)  # for servers listed before capacity was known
             self.load_reports.expire_load(server)
             self.health_checks.start_periodic(server)
         self.load.decay_sent_load()
 
     def _ready_weight(self) -> float:
-        """Return the listed weight of the servers that take new connections, less for those that warm up."""
+        """Return the total listed weight of ready servers, scaled by their slow-start capacity fractions."""
         return sum(
             server.entry.weight * self.slow_start.capacity_fraction(server)
             for server in self.servers.values()
@@ -216,7 +217,7 @@
         self.load_reports.connection_established(event)
 
     def _attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from an attempt's end, then finish, retry or reject its request."""
+        """Learn from the result of an attempt, then finish, retry or reject its request."""
         request = self.requests.get(event.request_id)
         if request is None or request.server is None:
             return
@@ -243,7 +244,7 @@
             self.load_reports.record(server, event.load_report)
 
     def _health_check_ended(self, event: HealthCheckEnded) -> None:
-        """Learn from a health check, then go on with the placements that waited for it."""
+        """Learn from a health check, then continue the placements that waited for it."""
         server = self.servers.get(event.server)
         if server is None:
             return
@@ -254,12 +255,12 @@
             is_error = event.result is AttemptResult.ERROR
             self.outliers.record_failure(server, AttemptResult.OVERLOADED if is_error else event.result)
         else:
-            if has_reset_connection:  # it runs: it had too much
+            if has_reset_connection:  # the server still runs, so it reset the connection because of overload
                 self.retries.start_reconnect_backoff()
             if self.context.settings.health_checks_are_timed:
                 self.timed_health_checks.finish(server, event.latency_ms)
             else:
                 self.load_reports.record(server, event.load_report)
         for request in self.health_checks.pop_waiting_requests(server):
-            if request.candidates and not any(each.is_check_pending for each in request.candidates):
+            if request.candidates and not any(candidate.is_check_pending for candidate in request.candidates):
                 self.admission.choose_server(request)
