--- a/violetdoor/balancing/budget.py
+++ b/violetdoor/balancing/budget.py
@@ -1,7 +1,7 @@
-"""Bandwidth sharing among tenants: demand forecast, tiered budget and connection limit.
+"""Capacity sharing among tenants: demand forecast, tiered budget and connection limit.
 
-After King, Song and Dias, "A System for Resource Sharing and Control of a Cluster-Based Web Server Farm",
-sections 3.1 and 3.2; a tenant is the paper's service group, and load takes the place of its bandwidth.
+Based on King, Song and Dias, "A System for Resource Sharing and Control of a Cluster-Based Web Server Farm",
+sections 3.1 and 3.2. A tenant corresponds to the paper's service group, and load to its bandwidth.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 from violetdoor.balancing.model import Tenant
 
-BUDGET_INTERVAL_MS = 1_000.0  # between budgets: a few load reports, far less than a connection's life
-SMOOTHING_FACTOR = 0.3  # weight of the newest interval in the moving averages of the change of demand
-STANDARD_DEVIATIONS = 5 / 3  # multiple of the estimated deviation in a forecast, from section 3.1.1
-ROUNDING_TOLERANCE = 1e-6  # connections: a limit that is whole but for rounding is not rounded up
+BUDGET_INTERVAL_MS = 1_000.0  # several load reports long, far shorter than the lifetime of a connection
+SMOOTHING_FACTOR = 0.3  # weight of the newest interval in the moving averages of demand changes
+STANDARD_DEVIATIONS = 5 / 3  # multiple of the estimated deviation that a forecast adds, section 3.1.1
+ROUNDING_TOLERANCE = 1e-6  # connections; a limit this little above an integer is not rounded up
 
 
 def tiered_budget(
     forecast: Sequence[float], guarantee: Sequence[float], priority: Sequence[float], capacity: float
 ) -> list[float]:
-    """Allocate capacity to tenants as in the paper's section 3.1.2.
+    """Allocate capacity to tenants as in section 3.1.2 of the paper.
 
-    Each gets its guarantee up to its forecast; spare capacity then goes to the tenants of each priority,
-    the highest first, up to their forecasts, and in proportion to what they lack where it is short (section
-    3.1.3); the residue is split equally.
+    Each tenant gets the lesser of its guarantee and its forecast. Spare capacity then goes to the priorities
+    in descending order, up to the tenants' forecasts; if it is short, in proportion to their unmet demand
+    (section 3.1.3). The residue is split equally.
     """
     budget = [min(demand, guaranteed) for demand, guaranteed in zip(forecast, guarantee, strict=True)]
     spare = max(0.0, capacity - sum(budget))
@@ -40,10 +40,10 @@
 
 
 def forecast(tenant: Tenant) -> float:
-    """Close an interval and forecast the tenant's demand in the next one, as in the paper's section 3.1.1.
+    """Close an interval and forecast the tenant's demand in the next one, as in section 3.1.1 of the paper.
 
-    The forecast is the last demand, plus the moving average of its change, plus 5/3 of the moving average
-    of its positive changes, which stands for the standard deviation.
+    The forecast is the last demand, plus the moving average of its changes, plus 5/3 of the moving average
+    of its increases, which estimates the standard deviation.
     """
     change = tenant.load + tenant.unserved_load - tenant.last_demand
     tenant.last_demand += change
@@ -55,10 +55,10 @@
 
 
 def set_connection_limit(tenant: Tenant, budget: float) -> None:
-    """Set the connection limit that admission control goes by, as in the paper's section 3.2.
+    """Set the connection limit for admission control, as in section 3.2 of the paper.
 
-    It is the budget over the minimum rate of a connection, here the mean load of the tenant's connections,
-    rounded up and at least one, since a relay often holds one connection of a tenant.
+    It is the budget divided by the minimum rate of a connection, for which the mean load of the tenant's
+    connections is used. It is rounded up and at least one: a relay often has one connection of a tenant.
     """
     tenant.budget = budget
     has_known_rate = tenant.connection_count > 0 and tenant.load > 0
