--- a/violetdoor/balancing/context.py
+++ b/violetdoor/balancing/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the decision module share: clock, settings, random source, records and actions."""
+"""State that all parts of the decision module share: clock, settings, random source, records and actions."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from violetdoor.balancing.model import Request, Server, Tenant
 from violetdoor.balancing.settings import BalancerSettings
 
-ANSWER_MARGIN_INTERVALS = 4  # call intervals of a client's time that are kept back for the final answer
+ANSWER_MARGIN_INTERVALS = 4  # call intervals reserved before a deadline for the final answer
 
 
 class Context:
     """Shared state of one balancer.
 
-    The records have one writer each: `ServerList` adds and removes servers, `Admission` tenants and requests.
+    Only `ServerList` adds and removes servers; only `Admission` adds and removes tenants and requests.
     """
 
     __slots__ = (
@@ -29,21 +29,21 @@
     )
 
     def __init__(self, settings: BalancerSettings, seed: int, now_ms: float) -> None:
-        """Start without any records."""
+        """Start without servers, requests and tenants."""
         self.now_ms = now_ms
         self.random = Random(seed)
-        self.actions: list[Action] = []  # in answer to the event that is being handled
+        self.actions: list[Action] = []  # response to the event that is being handled
         self.servers: dict[str, Server] = {}
         self.requests: dict[int, Request] = {}
         self.tenants: dict[str, Tenant] = {}
         self.change_settings(settings)
 
     def change_settings(self, settings: BalancerSettings) -> None:
-        """Put new settings in force; requests under way keep the class that they came with."""
+        """Apply new settings; existing requests keep the request class settings from their arrival."""
         self.settings = settings
         self.answer_margin_ms = ANSWER_MARGIN_INTERVALS * settings.min_call_interval_ms
 
     def set_stage_timer(self, request: Request, until_ms: float) -> None:
-        """Let the request's stage end then, or earlier where its deadline asks for an answer."""
+        """End the request's current stage at `until_ms`, or earlier to answer before its deadline."""
         request.stage_ends_at_ms = min(until_ms, request.deadline_ms - self.answer_margin_ms)
         self.actions.append(SetTimer(str(request.id), request.stage_ends_at_ms))
