--- a/violetdoor/balancing/group_affinity.py
+++ b/violetdoor/balancing/group_affinity.py
@@ -1,6 +1,6 @@
-"""Group affinity: connections of one group go to few servers, the same ones from all relays.
+"""Group affinity: all relays place the connections of a group on the same few servers.
 
-A group's connections share work at a server, and each server that holds any of them pays for that work.
+Connections of a group share work at a server. Each server with at least one of them has to do that work.
 """
 
 from __future__ import annotations
@@ -14,21 +14,20 @@
 from violetdoor.balancing.outlier_detection import OutlierDetector
 from violetdoor.balancing.slow_start import SlowStart
 
-BASE_HOME_SERVERS = 5  # servers that a group goes to at one relay
-HOME_SERVER_REDUCTION_PER_LOG_RELAYS = (
-    0.3  # servers fewer by the logarithm of relays: together they find others full
-)
-MIN_WEIGHT = 1e-9  # guards a division by the weight of a server that is to get nothing
-HASH_RANGE = 2**32  # values of a CRC-32
+BASE_HOME_SERVERS = 5  # home servers of a group, before corrections for its size and the number of relays
+# Home servers fewer per unit of ln(relays): each relay finds other servers full, so all together use more.
+HOME_SERVER_REDUCTION_PER_LOG_RELAYS = 0.3
+MIN_WEIGHT = 1e-9  # avoids a division by zero for a server of weight 0, which gets no connections
+HASH_RANGE = 2**32  # number of values of a CRC-32
 
 
 class GroupAffinity:
-    """Owns each group's order of servers."""
+    """Owns the preference order of servers of each group."""
 
     def __init__(
         self, context: Context, load: LoadEstimator, outliers: OutlierDetector, slow_start: SlowStart
     ) -> None:
-        """Start without any order; orders are worked out when a group first needs one."""
+        """Start without orders; the order of a group is computed when it is first needed."""
         self.context = context
         self.load = load
         self.outliers = outliers
@@ -36,29 +35,29 @@
         self._orders: dict[int, list[Server]] = {}
 
     def clear_orders(self) -> None:
-        """Work out the orders anew, after a change of the server list."""
+        """Discard all orders after a change of the server list; they are computed again on demand."""
         self._orders.clear()
 
     def server_order(self, group: int) -> list[Server]:
-        """Return the group's order of servers, by weighted rendezvous hashing: the same at all relays."""
+        """Return the group's order of servers by weighted rendezvous hashing, the same at all relays."""
         order = self._orders.get(group)
         if order:
             return order
-        draws = [
+        hashes = [
             (zlib.crc32(f"{server.name} {group}".encode()), server)
             for server in self.context.servers.values()
         ]
         scores = {
-            server: math.log((draw + 1) / HASH_RANGE) / max(server.entry.weight, MIN_WEIGHT)
-            for draw, server in draws
+            server: math.log((value + 1) / HASH_RANGE) / max(server.entry.weight, MIN_WEIGHT)
+            for value, server in hashes
         }
         order = self._orders[group] = sorted(scores, key=scores.__getitem__, reverse=True)
         return order
 
     def candidates(self, request: Request, group: int, limit: int) -> list[Server]:
-        """Return those of the group's first servers that have capacity, `limit` at the most."""
+        """Return at most `limit` home servers of the group that have capacity, in the group's order."""
         homes = self._home_servers(group)
-        # It was lost by a server that still looks sound where health checks report no load: begin elsewhere.
+        # Without load reports, a server that reset the connection still seems healthy: begin at a later one.
         skips_first = request.is_reconnect and not self.context.settings.health_checks_report_load
         start = self.context.random.randrange(1, max(2, len(homes))) if skips_first else 0
         found: list[Server] = []
@@ -72,14 +71,14 @@
         return found
 
     def _home_servers(self, group: int) -> list[Server]:
-        """Return the servers that the group may go to, in its order: more for one with much of all load."""
+        """Return the usable home servers in the group's order; a group with much of all load has more."""
         requests = self.context.requests
-        others = sum(1 for request in requests.values() if request.group == group) - 1
-        # The group's part of all connections, as much of it as so few connections make sure.
-        certain_fraction = others * (1 - (1 + others) ** -0.5) / len(requests)
+        other_members = sum(1 for request in requests.values() if request.group == group) - 1
+        # The group's share of all requests, reduced by the relative uncertainty of so small a sample.
+        certain_fraction = other_members * (1 - (1 + other_members) ** -0.5) / len(requests)
         fleet_load = self.load.fleet_load or TYPICAL_FLEET_LOAD
-        more = certain_fraction * len(self.context.servers) * fleet_load / TARGET_LOAD
-        fewer = HOME_SERVER_REDUCTION_PER_LOG_RELAYS * math.log(self.context.settings.relay_count)
-        count = BASE_HOME_SERVERS + int(more) - int(fewer)
+        extra_servers = certain_fraction * len(self.context.servers) * fleet_load / TARGET_LOAD
+        reduction = HOME_SERVER_REDUCTION_PER_LOG_RELAYS * math.log(self.context.settings.relay_count)
+        count = BASE_HOME_SERVERS + int(extra_servers) - int(reduction)
         usable = [s for s in self.server_order(group) if s.is_ready and not self.outliers.is_ejected(s)]
         return usable[:count]
