--- a/violetdoor/balancing/health_checks.py
+++ b/violetdoor/balancing/health_checks.py
@@ -1,6 +1,6 @@
-"""Active health checks: when one is started, and which placements wait for it.
+"""Active health checks: when they are started, and which placements wait for their results.
 
-A check brings a load report, or only the time that it took (`violetdoor.balancing.timed_health_checks`).
+A check returns a load report, or only its duration (see `violetdoor.balancing.timed_health_checks`).
 """
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 from violetdoor.balancing.context import Context
 from violetdoor.balancing.model import Request, Server
 
-MAX_HEALTH_CHECK_WAIT_MS = 60.0  # that a placement waits for health checks: several of their usual times
-CONNECTIONS_PER_CHECK = 20  # connections to a server for one timed check of it each interval
+MAX_HEALTH_CHECK_WAIT_MS = 60.0  # limit for placements; several times the usual duration of a check
+CONNECTIONS_PER_CHECK = 20  # connections to a server from which it is checked in every interval
 
 
 class HealthChecks:
-    """Owns which checks are pending (`Server.is_check_pending`) and what waits for them."""
+    """Owns the pending checks (`Server.is_check_pending`) and the placements that wait for them."""
 
     def __init__(self, context: Context) -> None:
         """Start without a pending check."""
         self.context = context
 
     def start(self, server: Server) -> bool:
-        """Check a server, where that tells anything; return whether a check is pending."""
+        """Check a server if a check can show its load; return whether a check is pending."""
         if server.is_check_pending:
             return True
         settings = self.context.settings
@@ -33,9 +33,9 @@
         return True
 
     def start_periodic(self, server: Server) -> None:
-        """Check a server by chance, once an interval; the more connections it has, the likelier.
+        """Check a server with a probability that grows with its connections; called once per interval.
 
-        Only where checks are timed: they have their price.
+        Applies to timed checks only; checking at random limits their cost.
         """
         if not self.context.settings.health_checks_are_timed:
             return
@@ -43,7 +43,7 @@
             self.start(server)
 
     def pop_waiting_requests(self, server: Server) -> list[Request]:
-        """Return the requests that waited for this check, unless a second one is pending."""
+        """Remove and return the requests that waited for this check, unless another one is pending."""
         if server.is_check_pending:
             return []
         waiting = server.waiting_requests
