--- a/violetdoor/balancing/load_estimation.py
+++ b/violetdoor/balancing/load_estimation.py
@@ -1,4 +1,4 @@
-"""Load estimation: the load that each server and all of them carry, from reports and own traffic."""
+"""Load estimation: the load of each server and of the fleet, from reports and this relay's traffic."""
 
 from __future__ import annotations
 
@@ -7,40 +7,39 @@
 from violetdoor.balancing.context import Context
 from violetdoor.balancing.model import Server
 
-TARGET_LOAD = 0.75  # load over capacity to fill servers up to
-CONTENDED_LOAD = 0.64  # load over capacity of the fleet from which on budgets bind
-OVERLOADED_LOAD = 1.1  # load over capacity that is assumed of a server that is seen to be overloaded
-TYPICAL_FLEET_LOAD = 0.6  # load over capacity that is assumed of the fleet where nothing reports load
-MIN_FLEET_LOAD = 0.05  # least load over capacity of the fleet that capacity is derived from
-MAX_REPORTED_LOAD = 1.5  # what one report counts in the fleet's mean at the most
-FLEET_SMOOTHING_FACTOR = 0.1  # weight of one report in the fleet's mean: about ten are remembered
-SENT_LOAD_DECAY_FACTOR = 0.3  # part of the load sent that is still counted an interval later
-MAX_LOCAL_LOAD = 0.3  # most load over capacity that connections of this relay may count for beyond reports
-MAX_LOAD_PER_WEIGHT = 1e9  # stands for a capacity that is not known yet, where infinity would make NaN
-OVERLOAD_REPORT_LIFETIME_MS = (
-    1_500.0  # how long a report of no capacity bars a server where health checks report load
-)
-MIN_TOTAL_WEIGHT = 1e-9  # guards divisions where no server is listed
+TARGET_LOAD = 0.75  # load over capacity up to which servers are filled
+CONTENDED_LOAD = 0.64  # fleet load over capacity from which budgets limit tenants
+OVERLOADED_LOAD = 1.1  # load over capacity assumed for a server that shows overload
+TYPICAL_FLEET_LOAD = 0.6  # fleet load over capacity assumed without any load report
+MIN_FLEET_LOAD = 0.05  # least fleet load over capacity used to derive the fleet's capacity
+MAX_REPORTED_LOAD = 1.5  # upper bound for a single report in the fleet's mean
+FLEET_SMOOTHING_FACTOR = 0.1  # weight of one report in the fleet's mean, so about ten reports count
+SENT_LOAD_DECAY_FACTOR = 0.3  # fraction of the sent load that still counts one interval later
+MAX_LOCAL_LOAD = 0.3  # upper bound for load over capacity that is estimated in addition to reports
+MAX_LOAD_PER_WEIGHT = 1e9  # stands for an unknown capacity, where infinity would result in NaN
+# Where health checks report load: how long a server is skipped after a report without free capacity.
+OVERLOAD_REPORT_LIFETIME_MS = 1_500.0
+MIN_TOTAL_WEIGHT = 1e-9  # avoids a division by zero without listed servers
 
 
 class LoadEstimator:
     """Owns the estimates of the fleet's load and capacity."""
 
     def __init__(self, context: Context) -> None:
-        """Start without any report."""
+        """Start without any load report."""
         self.context = context
-        # Mean of reported load over capacity; none: nothing has reported any.
+        # Mean of reported load over capacity; None without any report.
         self.fleet_load: float | None = None
-        # Load of the fleet that fills a unit of listed weight; infinite: not known.
+        # Load of all relays that fills one unit of listed weight; infinite if unknown.
         self.load_per_weight = math.inf
-        self.sent_load = 0.0  # load that this relay sent to servers lately
+        self.sent_load = 0.0  # load that this relay sent to servers recently, decaying per interval
 
     def total_connection_load(self) -> float:
-        """Return the load of all connections of this process."""
+        """Return the total load of all connections of this process."""
         return sum(tenant.load for tenant in self.context.tenants.values())
 
     def update_capacity(self, total_weight: float) -> float:
-        """Learn the fleet's capacity once an interval; return this relay's part, inf if not contended."""
+        """Update the fleet's capacity once per interval; return this relay's share, inf if not contended."""
         servers = self.context.servers.values()
         fleet_load = self._assumed_fleet_load()
         load = self.total_connection_load() + sum(server.sibling_load for server in servers)
@@ -63,11 +62,11 @@
         return TYPICAL_FLEET_LOAD + (OVERLOADED_LOAD - TYPICAL_FLEET_LOAD) * overloaded_fraction
 
     def decay_sent_load(self) -> None:
-        """Let what was sent count less with each interval, since newer reports include it."""
+        """Reduce the sent load once per interval, since newer reports already include it."""
         self.sent_load *= SENT_LOAD_DECAY_FACTOR
 
     def add_report(self, load: float) -> None:
-        """Take one server's reported load over capacity into the fleet's mean."""
+        """Add one server's reported load over capacity to the fleet's mean."""
         load = min(MAX_REPORTED_LOAD, load)
         if self.fleet_load is None:
             self.fleet_load = load
@@ -75,10 +74,10 @@
             self.fleet_load += FLEET_SMOOTHING_FACTOR * (load - self.fleet_load)
 
     def projected_load(self, server: Server, load: float) -> float:
-        """Return load over capacity with a further connection of this load.
+        """Return a server's load over capacity with an additional connection of this load.
 
-        What the server carries is reported, else the fleet's mean, else guessed from this relay's own
-        connections.
+        The server's current load is its reported load, else the fleet's mean, else an estimate from this
+        relay's own connections.
         """
         capacity = min(self.load_per_weight, MAX_LOAD_PER_WEIGHT) * server.entry.weight
         current = self.fleet_load if server.load is None else server.load
@@ -87,16 +86,16 @@
         return current + min(MAX_LOCAL_LOAD, load / capacity)
 
     def _local_load(self, server: Server) -> float:
-        """Return the load of this relay's connections to a server, as much as so few of them make sure."""
+        """Return the load of this relay's connections to a server, discounted while there are few of them."""
         load = sum(request.load for request in server.connections.values()) + server.sibling_load
         count = 1 + len(server.connections) + server.sibling_count
         certainty: float = 1 - count**-0.5
         return load * certainty
 
     def load_sent_since_reports(self) -> float:
-        """Guess the load over capacity that all relays sent since reports were made.
+        """Estimate the load over capacity that all relays together have sent since the last reports.
 
-        Guards against a rush to servers that all relays see capacity at.
+        Prevents all relays from overloading the servers at which each of them sees free capacity.
         """
         total = max(self.sent_load, 1e-9, self.total_connection_load())
         return min(MAX_LOCAL_LOAD, (self.fleet_load or 0.0) * self.sent_load / total)
@@ -104,7 +103,7 @@
     def lacks_capacity(self, server: Server) -> bool:
         """Return whether a server is known to have no capacity left.
 
-        An old report bars no server, or it would never be checked again.
+        An outdated report does not count, or the server would never be checked again.
         """
         if server.load is None:
             return self.fleet_load is None and self.projected_load(server, 0.0) >= TARGET_LOAD
