--- a/violetdoor/balancing/migration.py
+++ b/violetdoor/balancing/migration.py
@@ -1,4 +1,4 @@
-"""Migration: an overloaded server loses part of its connections, whose clients then connect elsewhere."""
+"""Migration: some connections of an overloaded server are closed, and their clients reconnect elsewhere."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from violetdoor.balancing.group_affinity import GroupAffinity
 from violetdoor.balancing.model import Request, Server
 
-MIGRATION_INTERVAL_MS = 2_500.0  # until the effect of a migration is seen, nothing more is migrated
+MIGRATION_INTERVAL_MS = 2_500.0  # minimum time between migrations from one server, until the effect shows
 
 
 class Migration:
     """Owns the time of each server's last migration (`Server.migrated_at_ms`)."""
 
     def __init__(self, context: Context, groups: GroupAffinity) -> None:
-        """Take the shared state and the groups' orders of servers."""
+        """Use the shared state and the groups' orders of servers."""
         self.context = context
         self.groups = groups
 
     def migrate(self, server: Server, fraction: float) -> None:
-        """Migrate this fraction of a server's connections, unless some were migrated a moment ago.
+        """Migrate this fraction of a server's connections, unless some were migrated recently.
 
-        Guards against a slowed server that keeps what it has; each relay migrates its part.
+        A slow server would otherwise keep its existing connections. Each relay migrates its own share.
         """
         context = self.context
         if context.now_ms - server.migrated_at_ms < MIGRATION_INTERVAL_MS:
@@ -40,7 +40,7 @@
             server.migrated_at_ms = context.now_ms
 
     def _rank(self, request: Request, server: Server) -> tuple[int, int]:
-        """Return what all relays order by: whole groups, those first whose order names the server last."""
+        """Return the sort key, equal at all relays: whole groups, those that rank the server lowest first."""
         if request.group is None:
             return 0, 0
         order = self.groups.server_order(request.group)
