--- a/violetdoor/balancing/placement.py
+++ b/violetdoor/balancing/placement.py
@@ -1,8 +1,7 @@
-"""Placement: which server a request goes to.
+"""Placement: the choice of a server for a request.
 
-Some candidates are taken in the order of weighted round robin, or in that of the request's group; their
-load is looked up, by health checks where reports are old, and the one with the most capacity left gets the
-request.
+A few candidates are selected by weighted round robin, or by the order of the request's group. Health checks
+update the load of those without a recent report, and the candidate with the most free capacity is chosen.
 """
 
 from __future__ import annotations
@@ -20,24 +19,25 @@
 from violetdoor.balancing.weighted_round_robin import WeightedRoundRobin
 
 MAX_CANDIDATES = 4  # servers that one placement considers
-MAX_CANDIDATES_TIMED = 2  # the same where a health check has only its time to tell: checks cost more there
-FRESH_REPORT_MS = 250.0  # a report younger than this needs no health check
-SEARCH_INTERVAL_MS = 100.0  # until a placement looks again for a server with capacity
-MIN_SEARCH_JITTER = 0.7  # part of the interval, so that requests do not all look at once
-MAX_SEARCH_JITTER = 1.3  # the same, at the most
-CROSS_ZONE_LOAD_PER_POINT = 5.0  # load over capacity to gain by crossing zones, for each point that it costs
-GROUP_RANK_PENALTY_UNKNOWN_LOAD = 9.0  # load to gain by a group's next server before any load is known: never
-GROUP_RANK_PENALTY_REPORTED_LOAD = 0.1  # the same where health checks report load
-GROUP_RANK_PENALTY_TIMED_LOAD = 0.4  # the same where load is only estimated
-GROUP_SHARED_LOAD = 6.0  # load that a group's shared work adds at a server without any of the group
-UNKNOWN_LOAD_PENALTY = 1  # load over capacity that a server without a fresh report is put back by
-MIN_ATTEMPT_MS = 1.0  # shortest time that an attempt is given
-ATTEMPTS_SHARING_TIME = 2  # that the time left is shared by where a retry may follow
+MAX_CANDIDATES_TIMED = 2  # the limit with timed health checks, which cost more than other checks
+FRESH_REPORT_MS = 250.0  # a placement starts no health check of a server with a newer report
+SEARCH_INTERVAL_MS = 100.0  # mean time until a placement searches again for a server with capacity
+MIN_SEARCH_JITTER = 0.7  # least random factor on the interval, so that searches are spread
+MAX_SEARCH_JITTER = 1.3  # greatest random factor on the interval
+CROSS_ZONE_LOAD_PER_POINT = 5.0  # load over capacity that must be gained per point of cross-zone price
+# Load over capacity that must be gained per position by which a server is later in the group's order:
+GROUP_RANK_PENALTY_UNKNOWN_LOAD = 9.0  # before any load is known; never outweighed
+GROUP_RANK_PENALTY_REPORTED_LOAD = 0.1  # with health checks that report load
+GROUP_RANK_PENALTY_TIMED_LOAD = 0.4  # with load that is only estimated
+GROUP_SHARED_LOAD = 6.0  # load of a group's shared work at a server, added at the first connection
+UNKNOWN_LOAD_PENALTY = 1  # load over capacity added to the cost of a server without a fresh report
+MIN_ATTEMPT_MS = 1.0  # least time limit of an attempt
+ATTEMPTS_SHARING_TIME = 2  # attempts among which the remaining time is divided if a retry is possible
 
 
 @dataclass(slots=True, eq=False)
 class Placement:
-    """Chooses servers and starts attempts."""
+    """Chooses servers for requests and starts attempts."""
 
     context: Context
     load: LoadEstimator
@@ -47,7 +47,7 @@
     retries: RetryPolicy
 
     def place(self, request: Request) -> bool:
-        """Begin to look for a server; return False where the request has to be rejected."""
+        """Start the search for a server; return False if the request must be rejected."""
         request.candidates = self.next_candidates(request)
         now_ms = self.context.now_ms
         is_waiting = False
@@ -61,11 +61,13 @@
         return self.choose(request)
 
     def next_candidates(self, request: Request) -> list[Server]:
-        """Return the servers that come next for a request; their turns are used up."""
+        """Return the next candidates for a request and consume their turns."""
         servers = self.context.servers.values()
         if self.retries.requires_deduplication(request):
-            able = [server for server in servers if self.retries.accepts_deduplicated_retry(request, server)]
-            return able[:MAX_CANDIDATES]
+            eligible = [
+                server for server in servers if self.retries.accepts_deduplicated_retry(request, server)
+            ]
+            return eligible[:MAX_CANDIDATES]
         is_timed = self.context.settings.health_checks_are_timed
         limit = MAX_CANDIDATES_TIMED if is_timed else MAX_CANDIDATES
         if request.group is not None:
@@ -73,7 +75,7 @@
         return self.rotation.candidates(request, limit)
 
     def choose(self, request: Request) -> bool:
-        """Send to the best candidate, or look again later; return False where to reject the request."""
+        """Start an attempt at the best candidate or search again later; return False to have it rejected."""
         candidates = request.candidates
         request.candidates = []
         best = self._best_candidate(request, candidates)
@@ -90,25 +92,25 @@
         return True
 
     def _best_candidate(self, request: Request, candidates: list[Server]) -> Server | None:
-        """Return the candidate of the least cost, in load over capacity, of those with capacity left."""
+        """Return the candidate with capacity that has the least cost, in load over capacity."""
         context = self.context
         settings = context.settings
         max_load = TARGET_LOAD - self.load.load_sent_since_reports()
-        step = self._group_rank_penalty(request)
-        shared_work = 0.0
+        rank_penalty = self._group_rank_penalty(request)
+        shared_load = 0.0
         group_servers: set[Server | None] = set()
         if self._considers_shared_work(request):
-            shared_work = GROUP_SHARED_LOAD / min(self.load.load_per_weight, MAX_LOAD_PER_WEIGHT)
+            shared_load = GROUP_SHARED_LOAD / min(self.load.load_per_weight, MAX_LOAD_PER_WEIGHT)
             group_servers = {r.server for r in context.requests.values() if r.group == request.group}
         best = None
         min_cost = math.inf
         for position, server in enumerate(candidates):
-            # Without the request's own load, or heavy ones would starve.
+            # The request's own load is not added, or heavy requests would never be placed.
             if not server.is_ready or (server.load or 0.0) > max_load:
                 continue
-            cost = self.load.projected_load(server, request.load) + position * step
-            if shared_work and server not in group_servers:
-                cost += shared_work / server.entry.weight
+            cost = self.load.projected_load(server, request.load) + position * rank_penalty
+            if shared_load and server not in group_servers:
+                cost += shared_load / server.entry.weight
             if server.entry.zone != settings.zone:
                 cost += CROSS_ZONE_LOAD_PER_POINT * settings.cross_zone_price
             if server.is_check_pending or self._is_report_stale(server):
@@ -123,13 +125,13 @@
         return self.context.settings.health_checks_report_load and age_ms > 2 * FRESH_REPORT_MS
 
     def _considers_shared_work(self, request: Request) -> bool:
-        """Return whether loads are known well enough to weigh them against the work that a group shares."""
+        """Return whether loads are known precisely enough to compare them with a group's shared work."""
         if request.group is None or self.load.fleet_load is None:
             return False
         return self.context.settings.health_checks_report_load
 
     def _group_rank_penalty(self, request: Request) -> float:
-        """Return the load over capacity that a group has to gain by going to the next server in its order."""
+        """Return the load over capacity that the next server in a group's order must gain to be chosen."""
         if request.group is None:
             return 0.0
         if self.load.fleet_load is None:
