--- a/violetdoor/balancing/platform_settings.py
+++ b/violetdoor/balancing/platform_settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings and load reports, translated into the types of the decision module.
+"""Conversion of the platform's settings and load reports into the types of the decision module.
 
-The simulator and the platform's file hand over the same settings; this is the one place that reads them. Keys
-that are not known here are skipped.
+The simulator and the platform's file provide settings of the same form, which only this module reads. Unknown
+keys are ignored.
 """
 
 from __future__ import annotations
@@ -24,25 +24,25 @@
 REPORT_NAMES = {"active": "inflight", "waiting": "queue", "cpu": "util", "x0": "load", "x1": "backlog"}
 
 
-def parse_platform_settings(facts: dict[str, Any]) -> BalancerSettings:
-    """Translate the platform's settings.
+def parse_platform_settings(data: dict[str, Any]) -> BalancerSettings:
+    """Convert the platform's settings.
 
-    KeyError, TypeError, ValueError or AttributeError where they don't have the platform's form.
+    Raises KeyError, TypeError, ValueError or AttributeError if they don't have the platform's form.
     """
-    classes = _request_classes(facts)  # first: of several errors in a file the first one is reported
-    limits = facts.get("policyLimits", {})
-    rules = facts.get("rules", {})
-    prices = facts.get("prices", {})
+    classes = _request_classes(data)  # first, since only the first error in a file is reported
+    limits = data.get("policyLimits", {})
+    rules = data.get("rules", {})
+    prices = data.get("prices", {})
     has_retry_after = limits.get("retryAfter", False)
     return BalancerSettings(
         classes=classes,
-        zone=facts.get("locality") or "",
-        relay_count=facts.get("balancers", 1),
-        min_call_interval_ms=facts.get("period", 1.0),
-        polls_server_list=facts.get("discovery") == "on_request",
+        zone=data.get("locality") or "",
+        relay_count=data.get("balancers", 1),
+        min_call_interval_ms=data.get("period", 1.0),
+        polls_server_list=data.get("discovery") == "on_request",
         poll_deadline_ms=rules.get("askWithin", DEFAULT_POLL_DEADLINE_MS),
         health_checks_report_load=(
-            limits.get("probes", False) and facts.get("report", {}).get("how") != "none"
+            limits.get("probes", False) and data.get("report", {}).get("how") != "none"
         ),
         max_attempts=limits.get("sendCap", 1),
         max_retry_after_ms=limits.get("maxRetryAfter", 0.0) if has_retry_after else 0.0,
@@ -53,18 +53,18 @@
     )
 
 
-def _request_classes(facts: dict[str, Any]) -> dict[str, RequestClass]:
-    message_objectives = facts.get("familyInfo", {}).get("messageAim") or []
+def _request_classes(data: dict[str, Any]) -> dict[str, RequestClass]:
+    message_objectives = data.get("familyInfo", {}).get("messageAim") or []
     classes = {}
-    for position, form in enumerate(facts.get("classes", [])):
-        objective_ms = form["goalTime"]
+    for position, request_class in enumerate(data.get("classes", [])):
+        objective_ms = request_class["goalTime"]
         has_message_objective = position < len(message_objectives)
-        classes[form["name"]] = RequestClass(
+        classes[request_class["name"]] = RequestClass(
             latency_objective_ms=objective_ms,
-            priority_weight=form.get("worth", 1.0),
-            semantics=SEMANTICS[form.get("effect", "idempotent")],
-            deduplication_scope=_deduplication_scope(form.get("dedupScope") or "all"),
-            deduplication_window_ms=form.get("window") or 0.0,
+            priority_weight=request_class.get("worth", 1.0),
+            semantics=SEMANTICS[request_class.get("effect", "idempotent")],
+            deduplication_scope=_deduplication_scope(request_class.get("dedupScope") or "all"),
+            deduplication_window_ms=request_class.get("window") or 0.0,
             message_latency_objective_ms=(
                 message_objectives[position] if has_message_objective else objective_ms
             ),
@@ -72,18 +72,18 @@
     return classes
 
 
-def _deduplication_scope(word: object) -> DeduplicationScope:
-    """Look up the scope that the settings name; ValueError in the words that operators know."""
+def _deduplication_scope(value: object) -> DeduplicationScope:
+    """Return the scope of this name; the ValueError keeps the text that operators match."""
     try:
-        return DeduplicationScope(word)
+        return DeduplicationScope(value)
     except ValueError as err:
-        # The configuration's error line quotes type and text, so neither may follow our names.
-        message = f"{word!r} is not a valid Scope"
+        # The configuration's error line contains this type and text, so both stay independent of class names.
+        message = f"{value!r} is not a valid Scope"
         raise ValueError(message) from err
 
 
 def parse_load_report(values: Any) -> dict[str, float]:
-    """Return the numbers of a load report under the decision module's names; empty where there is none."""
+    """Return the numeric values of a load report by the decision module's names; empty if not a report."""
     if not isinstance(values, dict):
         return {}
     numbers: dict[str, float] = {
