--- a/violetdoor/balancing/retries.py
+++ b/violetdoor/balancing/retries.py
@@ -1,4 +1,4 @@
-"""Retry rules: when and where a request may be sent again, and when returning clients are held back."""
+"""Retry rules: when and where a request may be retried, and when reconnects are rejected."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from violetdoor.balancing.settings import DeduplicationScope, ExecutionSemantics
 from violetdoor.balancing.slow_start import SlowStart
 
-TIMEOUT_SMOOTHING_FACTOR = 0.1  # weight of one attempt in the fraction that timed out
-MAX_TIMEOUT_FRACTION = 0.3  # beyond it a shared store is slow, not one server, and retries only add work
-RECONNECT_BACKOFF_MS = 100_000.0  # divided by connections held: how long reconnects wait after a reset
-MIN_CONNECTIONS_FOR_BACKOFF = 5  # connections that the pause is divided by at least
-MIN_RETRY_AFTER_FRACTION = 0.3  # of the longest Retry-After, so that clients come back spread out
+TIMEOUT_SMOOTHING_FACTOR = 0.1  # weight of one attempt in the fraction of timeouts
+MAX_TIMEOUT_FRACTION = 0.3  # from here on a shared store is slow, not one server, and retries only add load
+RECONNECT_BACKOFF_MS = 100_000.0  # after a reset; to be divided by the number of requests
+MIN_CONNECTIONS_FOR_BACKOFF = 5  # least number by which the backoff is divided
+MIN_RETRY_AFTER_FRACTION = 0.3  # of the longest Retry-After; random above it, so that retries are spread
 
 
 class RetryPolicy:
-    """Owns the fraction of attempts that timed out, and until when reconnects are rejected."""
+    """Owns the fraction of attempts that timed out, and the reconnect backoff."""
 
     def __init__(self, context: Context, slow_start: SlowStart) -> None:
-        """Start with no timeout seen."""
+        """Start without timeouts."""
         self.context = context
         self.slow_start = slow_start
         self.timeout_fraction = 0.0
@@ -37,20 +37,20 @@
         self.timeout_fraction += TIMEOUT_SMOOTHING_FACTOR * (1 - self.timeout_fraction)
 
     def is_timeout_widespread(self) -> bool:
-        """Return whether so much times out that no single server is the cause."""
+        """Return whether so many attempts time out that a single server can't be the cause."""
         return self.timeout_fraction >= MAX_TIMEOUT_FRACTION
 
     def start_reconnect_backoff(self) -> None:
-        """Reject reconnects for a while, after a running server reset a connection: it had too much."""
+        """Reject reconnects for a while, after an overloaded but running server reset a connection."""
         count = max(MIN_CONNECTIONS_FOR_BACKOFF, len(self.context.requests))
         self._reconnect_backoff_ends_at_ms = self.context.now_ms + RECONNECT_BACKOFF_MS / count
 
     def is_in_reconnect_backoff(self, request: Request) -> bool:
-        """Return whether to reject a reconnect: each has others reset, a storm that feeds itself."""
+        """Return whether to reject a reconnect: placing it could overload a server and cause more resets."""
         return request.is_reconnect and self.context.now_ms < self._reconnect_backoff_ends_at_ms
 
     def record_possible_execution(self, request: Request, server: Server, event: AttemptEnded) -> None:
-        """Remember the first attempt that may have been executed."""
+        """Record the first attempt that the server may have executed."""
         if event.result.proves_not_executed or request.first_executor is not None:
             return
         request.first_executor = server
@@ -59,7 +59,7 @@
             request.start_by_ms = started_at_ms + request.request_class.deduplication_window_ms
 
     def may_retry(self, request: Request, result: AttemptResult) -> bool:
-        """Return whether an attempt that ended so may be followed by another."""
+        """Return whether another attempt may follow one with this result."""
         context = self.context
         if request.attempt_count >= context.settings.max_attempts:
             return False
@@ -68,11 +68,11 @@
         may_have_run = request.first_executor is not None
         if may_have_run and request.request_class.semantics is ExecutionSemantics.AT_MOST_ONCE:
             return False
-        # A slow shared store would get yet more work.
+        # A retry would add load to a shared store that is already slow.
         return result is not AttemptResult.TIMEOUT or not self.is_timeout_widespread()
 
     def is_safe_to_reject(self, request: Request) -> bool:
-        """Return whether the client may repeat the request without any effect happening twice."""
+        """Return whether the client may repeat the request without executing its effect twice."""
         if request.first_executor is None:
             return True
         request_class = request.request_class
@@ -82,18 +82,18 @@
         return is_deduplicated and request_class.deduplication_scope is DeduplicationScope.ALL
 
     def retry_after_ms(self) -> float:
-        """Draw how long a rejected client is asked to wait."""
+        """Return a random time that a rejected client should wait before it tries again."""
         fraction = self.context.random.uniform(MIN_RETRY_AFTER_FRACTION, 1)
         return self.context.settings.max_retry_after_ms * fraction
 
     def requires_deduplication(self, request: Request) -> bool:
-        """Return whether a retry has to go where the request's effect is known to be deduplicated."""
+        """Return whether a retry must go to a server that can deduplicate the request."""
         if request.first_executor is None:
             return False
         return request.request_class.semantics is not ExecutionSemantics.IDEMPOTENT
 
     def accepts_deduplicated_retry(self, request: Request, server: Server) -> bool:
-        """Return whether a server drops a request that may have been executed, and has a turn."""
+        """Return whether a server deduplicates the request and has a slow-start turn, which is consumed."""
         request_class = request.request_class
         if request_class.semantics is not ExecutionSemantics.DEDUPLICATED:
             return False
