--- a/violetdoor/balancing/server_list.py
+++ b/violetdoor/balancing/server_list.py
@@ -1,4 +1,4 @@
-"""The server list: which servers there are, and when the list is polled again after a failure."""
+"""The server list: updates of the known servers, and the time of the next poll after a failed one."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from violetdoor.balancing.slow_start import SlowStart
 from violetdoor.balancing.weighted_round_robin import WeightedRoundRobin
 
-SERVER_LIST_TIMER = "list"  # token of the timer of the next poll
-POLL_SERVICE_TIME_MS = 125.0  # that one poll keeps a list service busy that answers a few a second
-MIN_BACKOFF_MS = 500.0  # before it is doubled for the first time
+SERVER_LIST_TIMER = "list"  # token of the timer for the next poll
+POLL_SERVICE_TIME_MS = 125.0  # time that discovery needs to serve one poll; it serves only a few per second
+MIN_BACKOFF_MS = 500.0  # backoff before the first doubling
 
 
 class ServerList:
@@ -25,15 +25,15 @@
         groups: GroupAffinity,
         rotation: WeightedRoundRobin,
     ) -> None:
-        """Start with an empty list."""
+        """Start with an empty server list."""
         self.context = context
         self.slow_start = slow_start
         self.groups = groups
         self.rotation = rotation
-        self._failed_polls = 0  # in a row; a cached list counts as one
+        self._failed_polls = 0  # consecutive; a cached list counts as a failed poll
 
     def apply_update(self, event: ServerListUpdate) -> None:
-        """Take in the list, a change of it, or a poll that failed."""
+        """Apply a complete list, a change of the list, or a failed poll."""
         if self.context.settings.polls_server_list and event.kind.requires_poll:
             self._failed_polls += 1
             self._schedule_poll(event)
@@ -53,9 +53,10 @@
             servers.pop(name).is_ready = False
 
     def _schedule_poll(self, event: ServerListUpdate) -> None:
-        """Set the time of the next poll.
+        """Schedule the next poll.
 
-        All relays poll one service: polls are spread by its rate, back off, and still begin in time.
+        All relays poll the same service, so polls are spread at random according to its rate, with a backoff
+        that doubles per failure. The poll still starts before the deadline.
         """
         settings = self.context.settings
         longest_ms = min(settings.poll_deadline_ms / 2, event.next_poll_within_ms)
