--- a/violetdoor/balancing/slow_start.py
+++ b/violetdoor/balancing/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: servers that warm up get turns in time, so few that all relays stay within the ramp."""
+"""Slow start: warming-up servers get timed turns, so few that all relays together stay within the ramp."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from violetdoor.balancing.load_estimation import LoadEstimator
 from violetdoor.balancing.model import Server
 
-USED_OVERLOAD_FRACTION = 0.4  # part that all relays use of the load that would fail a server that warms up
-MIN_SLOW_START_MS = 1e-9  # guards a division where servers need no time to warm up
-MIN_TURN_JITTER = 0.5  # part of the interval between turns; relays must not meet at each turn
-MAX_TURN_JITTER = 1.5  # the same, at the most
+USED_OVERLOAD_FRACTION = 0.4  # part that all relays use of the load at which a warming-up server fails
+MIN_SLOW_START_MS = 1e-9  # avoids a division by zero where servers need no warm-up
+MIN_TURN_JITTER = 0.5  # least random factor on the interval between turns, so that relays differ
+MAX_TURN_JITTER = 1.5  # greatest random factor on the interval between turns
 
 
 class SlowStart:
-    """Owns the turns of servers that warm up (`Server.next_turn_at_ms`)."""
+    """Owns the turns of warming-up servers (`Server.next_turn_at_ms`)."""
 
     def __init__(self, context: Context, load: LoadEstimator) -> None:
-        """Take the shared state and what is known of the fleet's capacity."""
+        """Use the shared state and the estimate of the fleet's capacity."""
         self.context = context
         self.load = load
 
     def capacity_fraction(self, server: Server) -> float:
-        """Return the least fraction of its capacity that a server has so long after its start."""
+        """Return the least fraction of its full capacity that a server has at its present age."""
         settings = self.context.settings
         started_at_ms = server.entry.started_at_ms
         age_ms = self.context.now_ms - started_at_ms if started_at_ms > 0 else math.inf
@@ -32,9 +32,9 @@
         return min(1.0, initial + (1 - initial) * max(0.0, age_ms) / slow_start_ms)
 
     def schedule_first_turn(self, server: Server) -> None:
-        """Draw a server's first turn, after a random part of an interval: all relays add up to one ramp.
+        """Schedule a server's first turn after a random part of an interval, to spread the relays' turns.
 
-        There is none before the fleet's capacity is known.
+        Without a known fleet capacity, no turn is scheduled.
         """
         is_unscheduled = server.is_ready and server.next_turn_at_ms == math.inf
         if not is_unscheduled or self.load.load_per_weight == math.inf:
@@ -45,7 +45,7 @@
             server.next_turn_at_ms = self.context.now_ms + self.context.random.random() * interval_ms
 
     def try_consume_turn(self, server: Server, load: float) -> bool:
-        """Return whether a server may take this load now; one that warms up uses up its turn by that."""
+        """Return whether a server may get this load now; if so, a warming-up server consumes its turn."""
         is_due = self.context.now_ms >= server.next_turn_at_ms
         is_warming_up = self.capacity_fraction(server) < 1
         if is_due and is_warming_up:
@@ -55,9 +55,9 @@
         return is_due or not is_warming_up
 
     def _turn_interval_ms(self, server: Server, load: float) -> float:
-        """Return the time between two loads of this size from this relay.
+        """Return the time between two connections of this load from this relay to a warming-up server.
 
-        Guards against relays that all fill the same empty server.
+        Prevents all relays from filling the same empty server.
         """
         settings = self.context.settings
         fraction = self.capacity_fraction(server) * settings.slow_start_overload_factor
