--- a/violetdoor/balancing/weighted_round_robin.py
+++ b/violetdoor/balancing/weighted_round_robin.py
@@ -1,7 +1,7 @@
-"""Weighted round robin: the order of turns of the servers that are warm, own zone and other zones apart.
+"""Weighted round robin: rotations of the warm servers, one for the local zone and one for all others.
 
-After King, Song and Dias, section 4.2, where the front end chooses a back-end node for each connection; see
-docs/design.md for what differs.
+Based on King, Song and Dias, section 4.2, in which the front end chooses a back-end node for each connection;
+docs/design.md lists the differences.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 from violetdoor.balancing.outlier_detection import OutlierDetector
 from violetdoor.balancing.slow_start import SlowStart
 
-MAX_STEPS_PER_CANDIDATE = 3  # turns that are looked at for each candidate wanted
+MAX_STEPS_PER_CANDIDATE = 3  # turns examined per requested candidate, at most
 
 
 class Rotation:
-    """The servers of some zones by their next turns; a server of twice the weight has twice the turns."""
+    """Servers ordered by their next turns; a server of twice the weight has twice as many turns."""
 
     __slots__ = ("position", "turns")
 
     def __init__(self) -> None:
-        """Start without a server."""
-        self.turns: list[tuple[float, float, Server]] = []  # heap of turn, random tie-breaker and server
-        self.position = 0.0  # the last turn that came up
+        """Start without servers."""
+        self.turns: list[tuple[float, float, Server]] = []  # heap of (turn, random tie-breaker, server)
+        self.position = 0.0  # the latest turn that was reached
 
 
 class WeightedRoundRobin:
-    """Owns the order of turns; a turn that is not used is over, none is saved up."""
+    """Owns the rotations; an unused turn expires, and turns don't accumulate."""
 
     def __init__(self, context: Context, outliers: OutlierDetector, slow_start: SlowStart) -> None:
-        """Start without a server."""
+        """Start without servers."""
         self.context = context
         self.outliers = outliers
         self.slow_start = slow_start
@@ -39,9 +39,9 @@
         self.other_zones = Rotation()
 
     def add(self, server: Server) -> None:
-        """Give a server a random place in the order.
+        """Add a server at a random place in its rotation.
 
-        Relays start at places of their own, or all would pick the same server.
+        The places differ among relays, or all would choose the same server at the same time.
         """
         is_local_zone = server.entry.zone == self.context.settings.zone
         rotation = self.local_zone if is_local_zone else self.other_zones
@@ -51,10 +51,10 @@
         server.is_in_rotation = True
 
     def candidates(self, request: Request, limit: int) -> list[Server]:
-        """Return the servers of the next turns, `limit` at the most; their turns are used up.
+        """Return at most `limit` servers by their next turns, and consume these turns.
 
-        Servers that warm up come first, for half of the places; the own zone gets half of what is left
-        then, where there are other zones.
+        Up to half of them are warming-up servers. If there are other zones, the local zone gets half of the
+        remaining places.
         """
         found = self._warming_up(request, limit // 2)
         max_steps = MAX_STEPS_PER_CANDIDATE * limit
@@ -64,7 +64,7 @@
         return found
 
     def _warming_up(self, request: Request, limit: int) -> list[Server]:
-        """Return servers that warm up and whose turn has come, the longest due first."""
+        """Return the warming-up servers whose turn is due, the longest due first."""
         now_ms = self.context.now_ms
         capacity_fraction = self.slow_start.capacity_fraction
         due = [
