--- a/violetdoor/core/__init__.py
+++ b/violetdoor/core/__init__.py
@@ -1,6 +1,6 @@
-"""The decision module on a real clock: one `Controller` a relay, one `RequestHandle` a request.
+"""Runs the decision module on a real clock: one `Controller` per relay, one `RequestHandle` per request.
 
-Nothing in this package knows what a request looks like on a wire.
+This package is independent of the wire format of requests.
 """
 
 from violetdoor.core.controller import Controller
--- a/violetdoor/core/controller.py
+++ b/violetdoor/core/controller.py
@@ -1,8 +1,7 @@
-"""The decision module on a real clock: events in, awaitable decisions out to the task that owns a request.
+"""Runs the decision module on a real clock and passes its decisions to the tasks that own the requests.
 
-The controller owns the `Balancer` and is the only one that calls it. It keeps the rules that no front may
-break: one final answer a request, no two attempts of it at once, and nothing new to a server that the list
-has not named or that drains.
+Only the controller calls the `Balancer`. It enforces the rules that apply to all fronts: one final answer per
+request, no concurrent attempts of a request, and no new work for a server that is unlisted or draining.
 """
 
 from __future__ import annotations
@@ -44,31 +43,31 @@
 from violetdoor.core.timers import BalancerTimers
 from violetdoor.core.unresponsive import UnresponsiveServerDetector
 
-# After which a server that reported that it drains is as listed: lists come within 6 s.
+# How long self-reported draining overrides the server list; list updates arrive within 6 s.
 SELF_REPORT_TTL_SECONDS = 30.0
-# For which a class that settings name no more is known: a request of an earlier run has so long to come up.
+# How long a class that was removed from the settings stays valid, for requests read before the change.
 REMOVED_CLASS_TTL_SECONDS = 40.0
 
 
 class Classified(Protocol):
-    """Anything that belongs to a class of requests."""
+    """An object that has a request class."""
 
     @property
     def request_class(self) -> str:
-        """The name of the class."""
+        """The name of the request class."""
 
 
 ClassifiedT = TypeVar("ClassifiedT", bound=Classified)
 
 
 def _shortest_message_objective(settings: BalancerSettings) -> float:
-    """Return the shortest message latency objective of all classes in ms, 0 without classes."""
+    """Return the shortest message latency objective of all classes in ms, or 0 without classes."""
     objectives = [request_class.message_latency_objective_ms for request_class in settings.classes.values()]
     return min(objectives, default=0.0)
 
 
 class Controller:
-    """Owns the Balancer: gives it events, carries out its actions."""
+    """Owns the balancer: passes events to it and executes its actions."""
 
     def __init__(
         self,
@@ -78,12 +77,12 @@
         *,
         reports_message_delay: bool = False,
     ) -> None:
-        """Start in the running loop; `clock` gives the relay's time in ms."""
+        """Start in the running event loop; `clock` returns the relay's time in ms."""
         self.settings = settings
         self.now = clock
         self.loop = asyncio.get_running_loop()
         self.balancer = Balancer(settings, seed, clock())
-        self.requests: dict[int, RequestHandle] = {}  # by id, until they are forgotten
+        self.requests: dict[int, RequestHandle] = {}  # by request id, until they end
         self.established: EstablishedByServer = {}
         self.overrides = EndpointOverrides()
         self.endpoints = ServerEndpoints(self.overrides)
@@ -97,18 +96,18 @@
         self._delay_reporter.is_enabled = reports_message_delay and bool(settings.classes)
         self._ban_evacuation = BanEvacuation(self.overrides.bans, self.established, clock)
         self._configured_settings = settings
-        self._live_relay_count: int | None = None  # None: not known, the settings say how many there are
+        self._live_relay_count: int | None = None  # None if unknown: the settings apply
         self._last_request_id = 0
 
     # The decision module.
 
     def handle(self, event: Event) -> None:
-        """Give the module an event, carry out what it returns."""
+        """Pass an event to the decision module and execute the actions that it returns."""
         for action in self.balancer.handle(self.now(), event):
             self.execute_action(action)
 
     def execute_action(self, action: Action) -> None:
-        """Carry out one action of the module."""
+        """Execute one action of the decision module."""
         match action:
             case StartAttempt() | Reject() | FailRequest():
                 if request := self.requests.get(action.request_id):
@@ -127,7 +126,7 @@
     # Settings.
 
     def reconfigure(self, settings: BalancerSettings, *, reports_message_delay: bool) -> None:
-        """Apply new settings at once; classes that they name no more stay a while for open requests."""
+        """Apply new settings at once; removed classes stay valid for a while, for open requests."""
         self.message_delays.set_shortest_objective(_shortest_message_objective(settings))
         self._delay_reporter.is_enabled = reports_message_delay and bool(settings.classes)
         self._configured_settings = settings
@@ -141,12 +140,12 @@
             self.loop.call_later(REMOVED_CLASS_TTL_SECONDS, self._drop_removed_classes)
 
     def _drop_removed_classes(self) -> None:
-        """Guard against classes of all settings that ever held: their objectives would count for ever."""
+        """Drop removed classes; otherwise they would accumulate and their objectives would still apply."""
         self.settings = replace(self.settings, classes=self._configured_settings.classes)
         self.handle(SettingsChanged(self.settings))
 
     def set_live_relay_count(self, count: int | None) -> None:
-        """Set how many relays share the servers now; None: nobody knows better than the settings."""
+        """Set how many relays share the servers now; None to use the number in the settings."""
         self._live_relay_count = count
         relay_count = self._relay_count()
         if relay_count != self.settings.relay_count:
@@ -161,24 +160,24 @@
     # Servers.
 
     def update_server_list(self, update: ServerListUpdate) -> None:
-        """Take in the endpoint list, a change of it, or a poll for it that failed."""
+        """Apply a complete endpoint list, a change of it, or a failed poll."""
         self.handle(self.endpoints.update(update))
 
     def accepts_new_work(self, server: str) -> bool:
-        """Tell whether new work may go to this server now."""
+        """Return whether new work may be sent to this server now."""
         return self.endpoints.accepts_new_work(server)
 
     def has_ready_server(self) -> bool:
-        """Tell whether the list names any server that accepts new work."""
+        """Return whether any listed server accepts new work."""
         return self.endpoints.has_ready_server()
 
     def avoided_server_count(self) -> int:
-        """Count the servers of the list that get nothing new, by a ban or by the module's choice."""
+        """Count the listed servers that get no new work because of a ban or the decision module's choice."""
         avoided = self.balancer.avoided_servers() | self.overrides.bans.keys()
         return len(avoided & self.endpoints.entries.keys())
 
     def ban(self, server: str, since_ms: float) -> bool:
-        """Send nothing new to a server and migrate its clients; False for one never listed."""
+        """Stop sending new work to a server and migrate its clients; return False if it is unknown."""
         if server not in self.endpoints.known_names:
             return False
         if server not in self.overrides.bans:
@@ -188,7 +187,7 @@
         return True
 
     def lift_ban(self, server: str) -> bool:
-        """Use a banned server again, warming up, with nothing remembered; False for one never listed."""
+        """Use a banned server again, with slow start and no learned state; return False if it is unknown."""
         if server not in self.endpoints.known_names:
             return False
         if self.overrides.lift_ban(server, self.now()):
@@ -196,14 +195,14 @@
         return True
 
     def mark_draining(self, server: str, *, reported_by_peer: bool = False) -> None:
-        """Take a server as draining since it said so itself, until it starts anew or a TTL is over.
+        """Treat a server as draining because it reported so itself, until it restarts or the TTL ends.
 
-        `reported_by_peer`: it said so to another relay.
+        `reported_by_peer` is set if the server reported it to another relay.
         """
         entry = self.endpoints.entries.get(server)
         if entry is None or entry.state is not ServerState.READY:
             return
-        effective = self.overrides.apply_to(entry)  # one whose ban was lifted has started since
+        effective = self.overrides.apply_to(entry)  # the start time differs after a lifted ban
         if self.overrides.has_reported_draining(effective):
             return
         self.record_self_reported_draining({server: effective.started_at_ms})
@@ -212,7 +211,7 @@
             self.on_server_draining(server)
 
     def record_self_reported_draining(self, started_at_by_server: Mapping[str, float]) -> None:
-        """Take servers as draining for the TTL, by the start of the process that said so."""
+        """Treat servers as draining for the TTL, each with the start time of the reporting process."""
         self.overrides.self_reported_draining.update(started_at_by_server)
         for server, started_at in started_at_by_server.items():
             self.loop.call_later(
@@ -220,13 +219,13 @@
             )
 
     def _expire_self_reported_draining(self, server: str, started_at: float) -> None:
-        """Go by the list again, which may have said anything meanwhile."""
+        """End the override: the server list applies again, whatever it contains now."""
         if self.overrides.self_reported_draining.get(server) == started_at:
             del self.overrides.self_reported_draining[server]
             self._send_endpoint_update(server)
 
     def _send_endpoint_update(self, server: str) -> None:
-        """Tell the module how a server's entry is now that its overrides have changed."""
+        """Pass a server's entry to the decision module after a change of its overrides."""
         update = self.endpoints.current_update(server)
         if update is not None:
             self.handle(update)
@@ -234,7 +233,7 @@
     # Requests.
 
     def open_request(self, attributes: RequestAttributes, time_left_ms: float) -> RequestHandle:
-        """Take a request; its handle brings the module's decisions."""
+        """Register a request and return its handle, which receives the decisions."""
         request = self._new_request(attributes.request_class, self.now() + time_left_ms)
         self.handle(
             RequestArrived(
@@ -252,7 +251,7 @@
         return request
 
     def adopt_connection(self, attributes: RequestAttributes, server: str) -> RequestHandle:
-        """Take a connection that was established at this server before this program started."""
+        """Register a connection that was established at this server before this process started."""
         request = self._new_request(attributes.request_class, math.inf)
         request.mark_adopted(server)
         self.add_established(request)
@@ -276,25 +275,25 @@
         return request
 
     def may_start(self, attempt: StartAttempt) -> bool:
-        """Tell whether an attempt may still start; ask just before its first byte.
+        """Return whether an attempt may still start; to be called just before its first byte is sent.
 
-        A connection can come up late. Guards against a request to a server that drains by now, and against
-        a retry after the end of its class's deduplication window.
+        The connection may have been set up late: the server may be draining by now, or a retry may be past
+        the end of its class's deduplication window.
         """
         return self.accepts_new_work(attempt.server) and self.now() <= attempt.start_by_ms
 
     def add_established(self, request: RequestHandle) -> None:
-        """Count a request's connection as established at its server."""
+        """Record that a request's connection to its server is established."""
         self.established.setdefault(request.server, {})[request.request_id] = request
 
     def record_answer(self, server: str, sent_at_ms: float) -> None:
-        """Record that a server answered a message that was sent to it at this time."""
+        """Record that a server has now answered a message that was sent at `sent_at_ms`."""
         now = self.now()
         self.unresponsive_servers.last_answer_at[server] = now
         self.message_delays.add(server, now - sent_at_ms)
 
     def remove_request(self, request: RequestHandle) -> None:
-        """Drop a request that is over."""
+        """Remove a request that has ended."""
         self.requests.pop(request.request_id, None)
         at_server = self.established.get(request.server)
         if not at_server:
@@ -305,7 +304,7 @@
             self.unresponsive_servers.last_answer_at.pop(request.server, None)
 
     def select_lowest_priority(self, candidates: Sequence[ClassifiedT], fraction: float) -> list[ClassifiedT]:
-        """Return this fraction, rounded up: those of the lowest priority weight, in the order given."""
+        """Return the candidates of lowest priority weight, this fraction of all, rounded up."""
         weights = {name: found.priority_weight for name, found in self.settings.classes.items()}
         ordered = sorted(candidates, key=lambda candidate: weights.get(candidate.request_class, 0.0))
         return ordered[: math.ceil(len(ordered) * fraction)]
@@ -313,20 +312,20 @@
     # Two processes of one relay.
 
     def load_by_server(self) -> dict[str, tuple[float, int]]:
-        """Return load and number of the connections that are established here, by server."""
+        """Return the total load and number of this process's established connections, by server."""
         requests = self.balancer.requests
         loads = {
-            server: [requests[number].load for number in at_server if number in requests]
+            server: [requests[request_id].load for request_id in at_server if request_id in requests]
             for server, at_server in self.established.items()
         }
         return {server: (sum(found), len(found)) for server, found in loads.items()}
 
     def restore(self, learned: LearnedState, entries: dict[str, ServerEntry]) -> None:
-        """Begin from what the process before this one knew; its bans are in force already."""
+        """Restore the learned state and server list of the previous process; its bans apply already."""
         self.handle(replace(learned, server_list=self.endpoints.restore(entries)))
 
     def set_health_checks_paused(self, *, paused: bool) -> None:
-        """Check no more, since another process of this relay does; or check again."""
+        """Pause health checks while another process of this relay runs them, or resume them."""
         if self.health_checks.are_paused and not paused:
             for server in self.balancer.servers.values():
                 server.is_check_pending = False
