--- a/violetdoor/core/delays.py
+++ b/violetdoor/core/delays.py
@@ -1,4 +1,4 @@
-"""Message delays of servers: measured here, reported to the decision module once a window."""
+"""Message delays of servers: collected per window and reported to the decision module."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from violetdoor.balancing.events import ConnectionMeasured, MeasurementKind
 from violetdoor.core.request_handle import EstablishedByServer
 
-WINDOW_MS = 1_000.0  # between two reports on one server
-MAX_SAMPLES_PER_WINDOW = 64  # of one server; a median needs no more
-THRESHOLD_DIVISOR = 3  # delays over the shortest message latency objective by this are reported
+WINDOW_MS = 1_000.0  # length of a window, and time between two reports
+MAX_SAMPLES_PER_WINDOW = 64  # per server; enough for a median
+THRESHOLD_DIVISOR = 3  # delays above the shortest message latency objective divided by this are reported
 
 
 class TimedConnection(Protocol):
-    """A connection whose class has a latency objective for its messages."""
+    """A connection whose request class has a message latency objective."""
 
     message_latency_objective_ms: float
 
@@ -34,17 +34,17 @@
 
 @dataclass(slots=True)
 class DelayWindow:
-    """The message delays of one server in this window, in ms."""
+    """The message delays of one server in the current window, in ms."""
 
     samples: list[float] = field(default_factory=list)
-    was_over_threshold: bool = False  # in the window before
+    was_over_threshold: bool = False  # in the previous window
 
 
 class MessageDelays:
-    """Collects message delays; once a window the median of each slow server is to be reported."""
+    """Collects message delays, and selects the servers to report at the end of each window."""
 
     def __init__(self, shortest_objective_ms: float) -> None:
-        """Start with no samples; the objective is the shortest of all classes."""
+        """Start without samples; `shortest_objective_ms` is the shortest of all classes."""
         self.set_shortest_objective(shortest_objective_ms)
         self.windows: dict[str, DelayWindow] = {}
 
@@ -53,7 +53,7 @@
         self.threshold_ms = objective_ms / THRESHOLD_DIVISOR
 
     def add(self, server: str, delay_ms: float) -> None:
-        """Add the delay of one message."""
+        """Add the delay of one message of a server."""
         window = self.windows.get(server)
         if window is None:
             window = self.windows[server] = DelayWindow()
@@ -61,10 +61,10 @@
             window.samples.append(delay_ms)
 
     def close_window(self, unanswered_ages_ms: Mapping[str, list[float]]) -> list[ServerMessageDelay]:
-        """Return the servers to report: those over the threshold, and those that have just recovered.
+        """Return the servers whose median is above the threshold, or was in the previous window.
 
-        `unanswered_ages_ms` are the ages of messages that have no answer yet, by server: a server that
-        answers nothing any more would otherwise have no samples at all.
+        `unanswered_ages_ms` contains the ages of unanswered messages by server. Without them, a server that
+        has stopped answering would have no samples.
         """
         for server, ages in unanswered_ages_ms.items():
             for age in ages:
@@ -75,7 +75,7 @@
             if not window.samples:
                 del self.windows[server]
                 continue
-            delay = median(window.samples)  # one late wake-up of this process is no slow server
+            delay = median(window.samples)  # not affected by a single delay within this process
             window.samples.clear()
             is_over_threshold = delay > self.threshold_ms
             if is_over_threshold or window.was_over_threshold:
@@ -87,12 +87,12 @@
 def select_reporting_connection(
     connections: Mapping[int, TimedConnectionT],
 ) -> TimedConnectionT | None:
-    """Return the connection to report a server's delay on: one with the shortest objective."""
+    """Return the connection for reporting a server's delay: one with the shortest objective, or None."""
     return min(connections.values(), key=lambda c: c.message_latency_objective_ms, default=None)
 
 
 class DelayReporter:
-    """Reports the message delays of slow servers to the decision module, each on one connection."""
+    """Reports the message delays of slow servers to the decision module, on one connection per server."""
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
         clock: Callable[[], float],
         emit: Callable[[ConnectionMeasured], None],
     ) -> None:
-        """Report to `emit` once a window, while `is_enabled`."""
+        """Call `emit` with reports at the end of each window while `is_enabled` is set."""
         self.is_enabled = False
         self._delays = delays
         self._established = established
