--- a/violetdoor/core/endpoints.py
+++ b/violetdoor/core/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery has it, and as it is with the overrides laid over it."""
+"""The endpoint list of discovery, and its entries with overrides applied."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class ServerEndpoints:
-    """The entries of the list, and the names of all servers that it has or had lately."""
+    """The listed entries, and the names of all servers that are or recently were listed."""
 
     def __init__(self, overrides: EndpointOverrides) -> None:
         """Start with an empty list."""
-        self.entries: dict[str, ServerEntry] = {}  # as discovery told them, without overrides
-        self.known_names: set[str] = set()  # listed now, or among the latest that were
+        self.entries: dict[str, ServerEntry] = {}  # as received from discovery, without overrides
+        self.known_names: set[str] = set()  # listed or recently departed
         self.departed = DepartedServers()
         self._overrides = overrides
 
     def update(self, update: ServerListUpdate) -> ServerListUpdate:
-        """Take an update in; return it as the decision module is to see it."""
+        """Apply an update; return it with overrides applied, for the decision module."""
         names_before = set(self.entries)
         if update.kind.is_complete:
             self.entries.clear()
@@ -36,30 +36,30 @@
         return replace(update, entries=tuple(map(self._overrides.apply_to, update.entries)))
 
     def restore(self, entries: Mapping[str, ServerEntry]) -> ServerListUpdate:
-        """Begin from the list of the process before this one; return it as the module is to see it."""
+        """Restore the list of the previous process; return it as an update with overrides applied."""
         self.entries = dict(entries)
         self.known_names.update(entries)
         self._mark_departed(self.known_names - entries.keys())
         return ServerListUpdate(ServerListKind.CACHED, tuple(map(self._overrides.apply_to, entries.values())))
 
     def current_update(self, server: str) -> ServerListUpdate | None:
-        """Return an update of one server, after a change of its overrides; None if it is not listed."""
+        """Return an update of one server with its overrides applied, or None if it is not listed."""
         entry = self.entries.get(server)
         if entry is None:
             return None
         return ServerListUpdate(ServerListKind.INCREMENTAL, (self._overrides.apply_to(entry),))
 
     def accepts_new_work(self, server: str) -> bool:
-        """Tell whether the server is listed and ready, and no override says otherwise."""
+        """Return whether the server is listed and, with overrides applied, ready."""
         entry = self.entries.get(server)
         return entry is not None and self._overrides.apply_to(entry).state is ServerState.READY
 
     def has_ready_server(self) -> bool:
-        """Tell whether any server accepts new work."""
+        """Return whether any server accepts new work."""
         return any(map(self.accepts_new_work, self.entries))
 
     def _mark_departed(self, names: Iterable[str]) -> None:
-        """Forget those that departed long ago, unless they are banned."""
+        """Record departed servers; forget those beyond the bound, unless they are banned."""
         for name in self.departed.mark_departed(sorted(names)):
             if name not in self._overrides.bans:
                 self.known_names.discard(name)
