--- a/violetdoor/core/evacuation.py
+++ b/violetdoor/core/evacuation.py
@@ -8,24 +8,24 @@
 from violetdoor.core.even_selection import select_evenly
 from violetdoor.core.request_handle import EstablishedByServer
 
-EVACUATION_MS = 1_200.0  # within which the clients of a banned server are migrated
-EVACUATION_STEP_MS = 50.0  # between two of its steps
+EVACUATION_MS = 1_200.0  # time over which the clients of a banned server are migrated
+EVACUATION_STEP_MS = 50.0  # time between two steps of an evacuation
 
 
 class BanEvacuation:
-    """Migrates the clients of each banned server one after another, later ones at once."""
+    """Migrates the clients of banned servers evenly over a period, and any later clients at the next step."""
 
     def __init__(
         self, banned: Container[str], established: EstablishedByServer, clock: Callable[[], float]
     ) -> None:
-        """Read who is banned, and who is connected where; the clock is in ms."""
+        """Use the banned servers and established connections, both read only; `clock` returns ms."""
         self._banned = banned
         self._established = established
         self._clock = clock
         self._loop = asyncio.get_running_loop()
 
     def start(self, server: str) -> None:
-        """Begin with a server that has just been banned; it ends when the ban is lifted."""
+        """Start to evacuate a server that was just banned; the evacuation ends when the ban is lifted."""
         self._step(server, self._clock() + EVACUATION_MS)
 
     def _step(self, server: str, until_ms: float) -> None:
--- a/violetdoor/core/even_selection.py
+++ b/violetdoor/core/even_selection.py
@@ -1,4 +1,4 @@
-"""Random selection of connections to migrate, so that they end evenly over a period."""
+"""Random selection of connections to migrate, so that the migrations are spread evenly over a period."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def select_evenly(waiting: Sequence[T], time_left: float, step: float) -> list[T]:
-    """Choose those to migrate in this step so that all are migrated, evenly, when the time is over.
+    """Choose the items to migrate in this step, so that all are migrated evenly by the end of the time left.
 
-    `time_left` and `step`, the time between two calls, are in the same unit. The fraction of a connection
-    that a step's share may have is rounded up or down at random.
+    `step` is the time between two calls, in the same unit as `time_left`. A fractional number of items per
+    step is rounded up or down at random.
     """
     steps_left = max(1.0, time_left / step)
     share = len(waiting) / steps_left
