--- a/violetdoor/core/health_checks.py
+++ b/violetdoor/core/health_checks.py
@@ -1,4 +1,4 @@
-"""The health checks that the decision module asks for."""
+"""Execution of the health checks that the decision module requests."""
 
 from __future__ import annotations
 
@@ -7,28 +7,30 @@
 
 from violetdoor.balancing.events import AttemptResult, HealthCheckEnded
 
-HEALTH_CHECK_DEFERRAL_SECONDS = 0.5  # for which a check is put off while the relay is overloaded
+HEALTH_CHECK_DEFERRAL_SECONDS = 0.5  # delay of a check while the relay is overloaded
 
 HealthChecker = Callable[[str], Awaitable[HealthCheckEnded]]
 
 
 class HealthChecks:
-    """Runs health checks by the front's checker, each in a task of its own."""
+    """Runs health checks with the front's checker, each in its own task."""
 
     def __init__(
         self, accepts_new_work: Callable[[str], bool], emit: Callable[[HealthCheckEnded], None]
     ) -> None:
-        """Give the results to `emit`; a server that does not accept new work is not checked."""
-        self.checker: HealthChecker | None = None  # the front's; none: no server can be checked
+        """Pass results to `emit`; a server that accepts no new work counts as unreachable without a check."""
+        self.checker: HealthChecker | None = (
+            None  # set by the front; without one, checks report servers as unreachable
+        )
         self.should_defer: Callable[[], bool] = lambda: False
-        self.are_paused = False  # another process of this relay checks
+        self.are_paused = False  # while another process of this relay runs the checks
         self._accepts_new_work = accepts_new_work
         self._emit = emit
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def request(self, server: str) -> None:
-        """Check a server, now or, while the relay is overloaded, a little later."""
+        """Check a server now, or after a delay while the relay is overloaded."""
         if self.are_paused:
             return
         if self.should_defer():
--- a/violetdoor/core/timers.py
+++ b/violetdoor/core/timers.py
@@ -1,4 +1,4 @@
-"""The timers that the decision module asks for."""
+"""The timers that the decision module sets."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 
 log = logging.getLogger("violetdoor.core")
 
-TICK_TOKEN = "tick"  # the module's periodic timer, which sets itself anew each time
-TICK_RETRY_DELAY_MS = 1_000.0  # after a failed one
+TICK_TOKEN = "tick"  # the decision module's periodic timer, which it sets again each time
+TICK_RETRY_DELAY_MS = 1_000.0  # delay until the periodic timer is repeated after a failure
 
 
 class BalancerTimers:
-    """Calls the decision module back at the times that it asked for, never before."""
+    """Delivers timer events to the decision module at or shortly after the requested times, never early."""
 
     def __init__(self, clock: Callable[[], float], emit: Callable[[TimerFired], None]) -> None:
-        """Fire to `emit`; the clock is in ms."""
+        """Pass timer events to `emit`; `clock` returns ms."""
         self._clock = clock
         self._emit = emit
         self._loop = asyncio.get_running_loop()
 
     def set(self, token: str, at_ms: float) -> None:
-        """Fire `token` at this time or soon after."""
+        """Deliver TimerFired with `token` at `at_ms` or shortly after."""
         delay_ms = max(0.0, at_ms - self._clock())
         self._loop.call_later(delay_ms / 1000, self._fire, token, at_ms)
 
     def _fire(self, token: str, at_ms: float) -> None:
-        # uvloop counts a delay from the start of the loop's round, so a timer can come early by as long as
-        # the round has lasted. The module ignores a timer that is early: guards against a request that is
-        # held for ever since its one timer came too soon.
+        # uvloop measures a delay from the start of the current loop iteration, so a timer can fire early by
+        # the duration of that iteration. The decision module ignores early timers, and a request whose only
+        # timer was ignored would wait forever. So the timer is set again.
         if self._clock() < at_ms:
             self.set(token, at_ms)
             return
         try:
             self._emit(TimerFired(token))
-        except Exception:  # one request's fault must not end the module's clock for all others
+        except Exception:  # a failure for one request must not stop the timers of all others
             log.exception("timer %s failed in the decision module", token)
             if token == TICK_TOKEN:
                 self.set(token, self._clock() + TICK_RETRY_DELAY_MS)
