--- a/violetdoor/core/request_handle.py
+++ b/violetdoor/core/request_handle.py
@@ -1,4 +1,4 @@
-"""One request as the task that owns it sees it: decisions are awaited, the ends of attempts reported."""
+"""The interface of a request's owner task: it awaits decisions and reports how attempts end."""
 
 from __future__ import annotations
 
@@ -24,55 +24,55 @@
 
 log = logging.getLogger("violetdoor.core")
 
-MAX_UNANSWERED_MESSAGES = 64  # of one connection whose answers are timed; of more the oldest are not
+MAX_UNANSWERED_MESSAGES = 64  # per connection; beyond it, the oldest are no longer timed
 
 
 @dataclass(slots=True, frozen=True)
 class RequestAttributes:
-    """What a client's request says of itself, beyond its time."""
+    """Attributes of a client's request, except its time limit."""
 
     request_class: str
     tenant: str
     idempotency_key: int | None = None
-    load: float | None = None  # ms of work a second that it asks for, where it says so
+    load: float | None = None  # load hint in ms of work per second; None without a hint
     group: int | None = None
     is_retry: bool = False
-    is_reconnect: bool = False  # its connection was migrated or broken before
+    is_reconnect: bool = False  # its previous connection was migrated or broken
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """In place of a decision: the client has disconnected, and is owed no answer any more."""
+    """Returned instead of a decision: the client has disconnected and needs no answer."""
 
 
 Decision = StartAttempt | Reject | FailRequest | ClientDisconnected
 
 
 class RequestOwner(Protocol):
-    """The controller as its handles see it."""
+    """The part of the controller that request handles use."""
 
     settings: BalancerSettings
     loop: asyncio.AbstractEventLoop
     now: Callable[[], float]  # the relay's time in ms
 
     def handle(self, event: Event) -> None:
-        """Give the decision module an event."""
+        """Pass an event to the decision module."""
 
     def add_established(self, request: RequestHandle) -> None:
         """Record that a request's connection is established."""
 
     def record_answer(self, server: str, sent_at_ms: float) -> None:
-        """Record that a server answered a message that was sent to it at this time."""
+        """Record that a server has now answered a message that was sent at `sent_at_ms`."""
 
     def remove_request(self, request: RequestHandle) -> None:
-        """Drop a request whose owner has ended."""
+        """Remove a request that has ended."""
 
 
 class RequestHandle:
-    """One request: its owner awaits decisions, carries them out and reports how attempts end.
+    """One request: its owner awaits decisions, executes them and reports how attempts end.
 
-    `migration_requested` and `server_unresponsive` are done once an established connection has to end for
-    that reason.
+    The futures `migration_requested` and `server_unresponsive` complete when an established connection must
+    be closed for that reason.
     """
 
     __slots__ = (
@@ -95,7 +95,7 @@
     def __init__(
         self, controller: RequestOwner, request_id: int, request_class: str, deadline_ms: float
     ) -> None:
-        """Start without a decision; only the controller makes handles."""
+        """Start without a decision; only the controller creates handles."""
         classes = controller.settings.classes
         self._controller = controller
         self.request_id = request_id
@@ -112,10 +112,10 @@
         self._has_attempt_in_flight = False
         self._attempt_started_at = 0.0
 
-    # What to do.
+    # Decisions.
 
     async def next_decision(self) -> Decision:
-        """Wait for the next decision; after a StartAttempt report its end before asking again."""
+        """Wait for the next decision; after a StartAttempt, report its end before the next call."""
         decision = await self._next_decision
         if isinstance(decision, StartAttempt):
             if self.is_finished:  # the client disconnected between the decision and this wake-up
@@ -124,9 +124,9 @@
         return decision
 
     def deliver_decision(self, decision: Decision) -> None:
-        """Hand the owner its next decision; guard against a second final answer or concurrent attempt."""
-        is_owed = isinstance(decision, ClientDisconnected) or not self.is_finished
-        if self._next_decision.done() or not is_owed:
+        """Pass a decision to the owner; drop a second final answer and a concurrent attempt."""
+        is_expected = isinstance(decision, ClientDisconnected) or not self.is_finished
+        if self._next_decision.done() or not is_expected:
             log.error("request %d: unexpected decision dropped: %r", self.request_id, decision)
             return
         if isinstance(decision, StartAttempt):
@@ -139,7 +139,7 @@
         self._next_decision.set_result(decision)
 
     def mark_adopted(self, server: str) -> None:
-        """Count a connection that was open at this server before this program started."""
+        """Record a connection that was open at this server before this process started."""
         self._begin_attempt(0, server)
 
     def _begin_attempt(self, attempt: int, server: str) -> None:
@@ -148,10 +148,10 @@
         self._has_attempt_in_flight = True
         self._attempt_started_at = self._controller.now()
 
-    # The established connection.
+    # Established connection.
 
     def connection_established(self) -> None:
-        """Report that the attempt's connection is established; it belongs to this server now."""
+        """Report that the connection of the current attempt is established at its server."""
         latency = self._controller.now() - self._attempt_started_at
         self._controller.add_established(self)
         self._controller.handle(ConnectionEstablished(self.request_id, self.attempt, self.server, latency))
@@ -161,15 +161,15 @@
         self._controller.handle(ConnectionMeasured(self.request_id, self.attempt, self.server, kind, value))
 
     def message_sent(self) -> None:
-        """Record that a message that wants an answer went to the server."""
+        """Record that a message that requires an answer was sent to the server."""
         self.unanswered_sent_at.append(self._controller.now())
 
     def message_answered(self) -> None:
-        """Record that the answer to the oldest such message came."""
+        """Record that the oldest unanswered message was answered."""
         if self.unanswered_sent_at:
             self._controller.record_answer(self.server, self.unanswered_sent_at.popleft())
 
-    # Its end.
+    # End of the attempt or the request.
 
     def attempt_ended(
         self,
@@ -178,7 +178,7 @@
         is_final: bool = False,
         load_report: Mapping[str, float] = MappingProxyType({}),
     ) -> None:
-        """Report how the attempt ended, with its server's load report; final if no answer is owed."""
+        """Report the attempt's result and its server's load report; `is_final` if no answer is needed."""
         if not self._has_attempt_in_flight:
             return
         self._has_attempt_in_flight = False
@@ -197,12 +197,12 @@
         self.is_finished = True
         self._controller.handle(RequestAbandoned(self.request_id))
         if self._next_decision.done():
-            self._has_attempt_in_flight = False  # that attempt never begins
+            self._has_attempt_in_flight = False  # the attempt was decided but never starts
         else:
             self._next_decision.set_result(ClientDisconnected())
 
     def close(self) -> None:
-        """Give up what the decision module still holds of the request: its owner has ended."""
+        """Abandon the request if it is not finished, and remove it, after its owner has ended."""
         self._has_attempt_in_flight = False
         if not self.is_finished:
             self.is_finished = True
