--- a/violetdoor/core/unresponsive.py
+++ b/violetdoor/core/unresponsive.py
@@ -1,4 +1,4 @@
-"""Detection of servers, and of single connections, that bring no answers any more."""
+"""Detection of servers, and of single connections, that have stopped answering."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 log = logging.getLogger("violetdoor.core")
 
 CHECK_INTERVAL_MS = 200.0
-SERVER_TIMEOUT_MS = 1_500.0  # without an answer on any connection: the server is unresponsive
-CONNECTION_TIMEOUT_MS = 3_500.0  # without an answer on one connection: that one is
+SERVER_TIMEOUT_MS = 1_500.0  # time without any answer after which a server is unresponsive
+CONNECTION_TIMEOUT_MS = 3_500.0  # time without an answer after which a single connection is unresponsive
 
 
 class UnresponsiveServerDetector:
-    """Ends the connections that bring no answers, by their handles' `server_unresponsive`.
+    """Ends connections without answers through the `server_unresponsive` future of their handles.
 
-    Guards against a server that accepts everything and answers nothing: TCP sees no fault in it, and a
-    client that is left there for 7 s without an answer breaks a rule.
+    TCP does not detect a server that accepts data but answers nothing. A client must not be left without an
+    answer for 7 s.
     """
 
     def __init__(self, established: EstablishedByServer, clock: Callable[[], float]) -> None:
-        """Watch these connections from now on; the clock is in ms."""
-        self.last_answer_at: dict[str, float] = {}  # by server, ms of the clock
+        """Start to monitor these connections; `clock` returns ms."""
+        self.last_answer_at: dict[str, float] = {}  # time of the last answer in ms, by server
         self._established = established
         self._clock = clock
         self._loop = asyncio.get_running_loop()
@@ -40,14 +40,17 @@
             unresponsive = self._unresponsive(server, list(requests.values()), now)
             if unresponsive:
                 log.warning(
-                    "server %s unresponsive on %d of %d connections", server, len(unresponsive), len(requests)
+                    "server %s is unresponsive on %d of %d connections; ending these connections",
+                    server,
+                    len(unresponsive),
+                    len(requests),
                 )
             for request in unresponsive:
                 if not request.server_unresponsive.done():
                     request.server_unresponsive.set_result(None)
 
     def _unresponsive(self, server: str, requests: list[RequestHandle], now: float) -> list[RequestHandle]:
-        """Return all connections of an unresponsive server, else those that are so by themselves."""
+        """Return all connections if the server is unresponsive, else the unresponsive connections."""
         waiting = [request for request in requests if request.unanswered_sent_at]
         oldest = min((request.unanswered_sent_at[0] for request in waiting), default=now)
         has_timed_out = now - oldest > SERVER_TIMEOUT_MS
