--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -1,4 +1,4 @@
-"""The decision module as a whole, driven by events."""
+"""The complete decision module, driven by events."""
 
 from __future__ import annotations
 
