--- a/tests/test_balancing_admission.py
+++ b/tests/test_balancing_admission.py
@@ -15,11 +15,11 @@
 
 
 def report_fleet_load(relay: RelayDriver, load: float) -> None:
-    """Let the relay learn that the fleet has this load."""
+    """Make the relay learn this fleet load from reports."""
     for server in relay.balancer.servers.values():
         for _ in range(20):
             relay.balancer.load_reports.record(server, {"load": load})
-        server.load = None  # the servers themselves have capacity: only the budget may queue requests
+        server.load = None  # the servers have capacity, so that only the budget can queue requests
 
 
 def test_request_over_limit_is_queued_then_rejected_with_retry_after() -> None:
@@ -32,10 +32,10 @@
     relay.request(9, tenant="t")
     assert relay.attempted_servers(9) == []
     relay.advance_to(relay.now_ms + 1900.0)
-    refusals = relay.final_answers(9)
-    assert len(refusals) == 1
-    assert isinstance(refusals[0], Reject)
-    assert refusals[0].retry_after_ms > 0
+    answers = relay.final_answers(9)
+    assert len(answers) == 1
+    assert isinstance(answers[0], Reject)
+    assert answers[0].retry_after_ms > 0
 
 
 def test_queued_request_is_admitted_when_tenant_is_under_limit_again() -> None:
@@ -62,7 +62,7 @@
 
 
 def test_heavier_request_over_budget_has_longer_pacing_delay() -> None:
-    due = []
+    delays_end_at_ms = []
     for load in (1.0, 3.0):
         relay = RelayDriver()
         relay.request(1, load=1.0)
@@ -70,8 +70,10 @@
         tenant.budget, tenant.connection_limit = 0.8, 5
         relay.request(2, load=load)
         assert relay.attempted_servers(2) == []
-        due.append(max(a.at_ms for a in relay.actions_of(SetTimer) if a.token == "2" and a.at_ms < 900))
-    assert due[1] > 2 * due[0] > 0
+        delays_end_at_ms.append(
+            max(a.at_ms for a in relay.actions_of(SetTimer) if a.token == "2" and a.at_ms < 900)
+        )
+    assert delays_end_at_ms[1] > 2 * delays_end_at_ms[0] > 0
 
 
 def test_shortage_limits_tenant_over_its_guarantee() -> None:
@@ -87,14 +89,14 @@
 
 
 def test_relay_whose_budgets_admit_nothing_still_checks_servers() -> None:
-    """It kept the fleet's load of the moment when contention began, for as long as it placed nothing."""
+    """Without placements, no report would update the fleet's load, and contention would never seem to end."""
     relay = RelayDriver(health_checks_report_load=True)
     for n in range(4):
         relay.request(n + 1)
         relay.finish_health_checks(0.5)
     report_fleet_load(relay, 1.3)
     for server in relay.balancer.servers.values():
-        server.reported_at_ms = 1e9  # no placement starts a health check now
+        server.reported_at_ms = 1e9  # recent enough that no placement starts a health check
     relay.advance_to(1500.0)
     relay.request(9)
     assert relay.attempted_servers(9) == []
