--- a/tests/test_balancing_budget.py
+++ b/tests/test_balancing_budget.py
@@ -1,4 +1,4 @@
-"""Budget, forecast and limit."""
+"""Tiered budget, demand forecast and connection limit."""
 
 import math
 
