--- a/tests/test_balancing_groups.py
+++ b/tests/test_balancing_groups.py
@@ -1,4 +1,4 @@
-"""Group affinity: connections of one group share servers."""
+"""Group affinity: connections of a group are placed on the same servers."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 def test_group_is_placed_on_the_same_server_by_all_relays() -> None:
-    """A server pays once for a group: spread over all servers a group costs as often as there are servers."""
-    met = set()
+    """A group costs its shared work at each server that it uses, so it must not spread over all servers."""
+    used_servers = set()
     for seed in range(8):
         relay = RelayDriver(servers=12, seed=seed)
         for n in range(3):
             relay.request(n + 1, group=77)
-        met |= {s for n in range(3) for s in relay.attempted_servers(n + 1)}
-    assert len(met) == 1
+        used_servers |= {s for n in range(3) for s in relay.attempted_servers(n + 1)}
+    assert len(used_servers) == 1
     groups = RelayDriver(servers=2, weights=[1.0, 3.0])
     for n in range(400):
         groups.request(n + 1, group=n)
@@ -51,7 +51,10 @@
 
 
 def test_group_spills_over_only_when_its_server_is_certainly_full() -> None:
-    """One server had 180 connections and another 7; few own connections make a poor estimate in a large fleet."""
+    """A group stayed on one server with 180 connections while another had 7.
+
+    In a large fleet, the few connections of one relay are a poor estimate of a server's load.
+    """
     for size, spilled in ((3, False), (60, True)):
         relay = RelayDriver(servers=4)
         for n in range(12 if spilled else 200):
@@ -63,7 +66,7 @@
 
 
 def test_group_checks_servers_again_when_overload_reports_are_old() -> None:
-    """Once all of them were overloaded nothing was sent or checked any more, though they had long been idle."""
+    """After all servers were overloaded, a group sent and checked nothing although they were idle again."""
     relay = RelayDriver(servers=3, health_checks_report_load=True)
     relay.request(1, group=7)
     relay.finish_health_checks(0.9)
@@ -75,14 +78,14 @@
 
 
 def test_group_leaves_its_first_server_for_one_with_much_more_capacity() -> None:
-    # A health check's time tells load less certainly than a report, so more has to be gained there.
-    for way, stays in (
+    # The duration of a health check is a less certain load than a report, so more capacity must be gained.
+    for setting, stays in (
         ("health_checks_report_load", [True, True, False, False]),
         ("health_checks_are_timed", [True, True, True, False]),
     ):
         taken = []
         for load in (0.6, 0.55, 0.4, 0.1):
-            relay = RelayDriver(servers=4, **{way: True})  # type: ignore[arg-type]
+            relay = RelayDriver(servers=4, **{setting: True})  # type: ignore[arg-type]
             relay.request(1, group=7)
             first = relay.balancer.groups.candidates(relay.balancer.requests[1], 7, MAX_CANDIDATES)[0].name
             for check in relay.actions_of(CheckHealth):
@@ -96,7 +99,7 @@
                         check.server,
                         AttemptResult.OK,
                         2.0 + late,
-                        {"load": its} if way == "health_checks_report_load" else {},
+                        {"load": its} if setting == "health_checks_report_load" else {},
                     ),
                 )
             taken.append(relay.attempted_servers(1) == [first])
@@ -104,7 +107,7 @@
 
 
 def test_server_with_the_group_is_preferred_to_a_less_loaded_one() -> None:
-    """Where loads are reported: members spread by small differences cost more than they gained."""
+    """With reported loads, small load differences must not spread a group: its shared work costs more."""
     sent = []
     for held in (True, False):
         relay = RelayDriver(servers=4, health_checks_report_load=True)
@@ -126,7 +129,7 @@
 
 
 def test_placement_checks_server_that_other_relays_may_have_filled() -> None:
-    """Each of forty relays has one connection of a group; only a health check tells what all have sent."""
+    """Each of 40 relays has one connection of a group; only a health check shows the load of all of them."""
     homes: set[str] = set()
     for seed in range(40):
         relay = RelayDriver(servers=6, seed=seed, relay_count=40, health_checks_are_timed=True)
@@ -134,7 +137,7 @@
             relay.now_ms += 2_000.0
             relay.request(request, group=7)
             while checks := relay.actions_of(CheckHealth):
-                assert len(checks) <= 2  # each has its cost
+                assert len(checks) <= 2  # each check has a cost
                 for check in checks:
                     relay.actions.remove(check)
                     relay.deliver(
@@ -147,11 +150,11 @@
             assert server not in busy
             if request == 1:
                 homes.add(server)
-        assert len(homes) == 1  # the same at all relays while nothing is known
+        assert len(homes) == 1  # the same at all relays while no load is known
 
 
 def test_group_stays_on_its_first_server_while_that_has_capacity() -> None:
-    """Each server that holds any of a group pays for it: spread over thirteen, groups cost as much as all clients."""
+    """Each server does a group's shared work: spread over 13 servers, groups cost as much as all clients."""
     relay = RelayDriver(servers=6, relay_count=40, health_checks_are_timed=True)
     for n in range(6):
         relay.deliver(1.0, HealthCheckEnded(f"s{n}", AttemptResult.OK, 2.0))
@@ -168,12 +171,12 @@
 
 
 def test_reconnect_goes_to_a_later_server_of_the_group() -> None:
-    """Its first server probably reset it, and to the relay that gets it now that server looks sound."""
+    """The first server probably reset the connection, but seems healthy to the relay that gets the reconnect."""
     relay = RelayDriver(servers=8, relay_count=40, health_checks_are_timed=True)
     for n in range(8):
         relay.deliver(1.0, HealthCheckEnded(f"s{n}", AttemptResult.OK, 2.0))
     homes = [s.name for s in relay.balancer.groups.server_order(7)][:BASE_HOME_SERVERS]
-    gone = []
+    reconnect_servers = []
     for request in range(1, 41):
         relay.now_ms += 2_000.0
         relay.request(request, group=7, is_reconnect=bool(request % 2))
@@ -182,13 +185,13 @@
             relay.deliver(relay.now_ms, HealthCheckEnded(check.server, AttemptResult.OK, 2.0))
         (server,) = relay.attempted_servers(request)
         if request % 2:
-            gone.append(server)
+            reconnect_servers.append(server)
         else:
             assert server == homes[0]
         relay.deliver(relay.now_ms, RequestAbandoned(request))
-    assert homes[0] not in gone
-    assert set(gone) <= set(homes)
-    assert len(set(gone)) > 1
+    assert homes[0] not in reconnect_servers
+    assert set(reconnect_servers) <= set(homes)
+    assert len(set(reconnect_servers)) > 1
 
 
 def test_reconnect_starts_at_first_server_where_load_is_reported() -> None:
@@ -203,8 +206,8 @@
 
 @pytest.mark.parametrize("relays", [1, 40, 200])
 def test_overloaded_group_is_not_spread_over_all_servers(relays: int) -> None:
-    """Each server with any of it pays for it: 95 pairs of server and group became 900, half of all work."""
-    looked: set[str] = set()
+    """Each server does a group's shared work: 95 pairs of server and group grew to 900, half of all work."""
+    checked: set[str] = set()
     for seed in range(relays):
         relay = RelayDriver(servers=24, seed=seed, relay_count=relays, health_checks_are_timed=True)
         relay.request(1, group=7)
@@ -212,12 +215,12 @@
             for check in (checks := relay.actions_of(CheckHealth)):
                 relay.actions.remove(check)
                 relay.deliver(relay.now_ms + 1.0, HealthCheckEnded(check.server, AttemptResult.ERROR, 1.0))
-                looked.add(check.server)
+                checked.add(check.server)
             relay.advance_to(relay.now_ms + (1.0 if checks else 50.0))
-        # A server that rejects health checks has no capacity, however quickly it answers.
+        # A server that rejects health checks counts as overloaded even if it answers fast.
         assert not relay.attempted_servers(1)
         assert isinstance(relay.final_answers(1)[0], Reject)
-    assert len(looked) <= BASE_HOME_SERVERS
+    assert len(checked) <= BASE_HOME_SERVERS
 
 
 def test_large_group_gets_more_servers() -> None:
@@ -227,14 +230,14 @@
         for request in range(1, 41):
             relay.request(request, group=7 if request <= part else 100 + request)
         sizes.append(len(relay.balancer.groups.candidates(relay.balancer.requests[part], 7, limit=24)))
-    # Each of 40 relays finds other servers full.
+    # With 40 relays, a small group has fewer home servers: each relay finds other servers full.
     assert sizes[0] < BASE_HOME_SERVERS <= sizes[1] < 8 < sizes[2] <= 20
 
 
 def test_warming_up_server_takes_only_groups_that_belong_there() -> None:
-    """Servers that warm up took whoever had their turn: each such connection brought its group's work along."""
+    """A warming-up server took connections of any group at its turn, each with its group's shared work."""
     relay = RelayDriver(servers=12, slow_start_ms=9_000.0, slow_start_initial_fraction=0.3)
-    relay.balancer.load.load_per_weight = 1e6  # its slow-start turns come at once
+    relay.balancer.load.load_per_weight = 1e6  # high capacity: its slow-start turns are due at once
     relay.advance_to(100.0)
     relay.update_servers(ServerEntry("s0", zone="a", started_at_ms=100.0))
     relay.advance_to(200.0)
