--- a/tests/test_balancing_load.py
+++ b/tests/test_balancing_load.py
@@ -24,11 +24,11 @@
 def test_outlier_loses_health_at_once_and_recovers() -> None:
     relay = RelayDriver(servers=2)
     relay.request(1)
-    bad = relay.attempted_servers(1)[0]
+    outlier = relay.attempted_servers(1)[0]
     relay.end_attempt(1, AttemptResult.ERROR)
-    assert relay.balancer.servers[bad].health < 0.5
+    assert relay.balancer.servers[outlier].health < 0.5
     relay.advance_to(20_000.0)
-    assert relay.balancer.servers[bad].health == 1.0
+    assert relay.balancer.servers[outlier].health == 1.0
 
 
 def test_overloaded_server_loses_connections_once_per_migration_interval() -> None:
@@ -43,7 +43,7 @@
 
 
 def test_load_sent_by_other_relays_is_anticipated() -> None:
-    """After the loss of a zone every relay saw the same free capacity, and all of them filled it."""
+    """After the loss of a zone, all relays saw the same free capacity and together overloaded it."""
     relay = RelayDriver(servers=4)
     for n in range(10):
         relay.request(n + 1)
@@ -102,7 +102,7 @@
 
 
 def test_late_messages_show_overload_where_nothing_reports_load() -> None:
-    """It gets no new connection and part of its connections migrate, until its messages are in time again."""
+    """The server gets no new connections and loses some, until its messages are in time again."""
     relay = RelayDriver(servers=2)
     for n in range(20):
         relay.request(n + 1)
@@ -120,7 +120,7 @@
 
 
 def test_own_connections_estimate_load_where_nothing_reports_it() -> None:
-    """The candidate of the largest weight was chosen each time; three servers of four got next to nothing."""
+    """Without the estimate, the candidate of the largest weight always won; 3 of 4 servers stayed almost idle."""
     relay = RelayDriver(servers=2, weights=[1.0, 3.0])
     for n in range(80):
         relay.request(n + 1)
@@ -130,7 +130,7 @@
 
 
 def test_late_messages_on_most_servers_make_budgets_bind() -> None:
-    """With nothing reported no budget ever bound: an overloaded fleet accepted everything and served none of it."""
+    """Without reports, budgets limited nothing: an overloaded fleet accepted all requests and served none."""
     relay = RelayDriver(servers=4)
     for n in range(40):
         relay.request(n + 1)
@@ -146,7 +146,7 @@
 
 
 def test_overload_seen_by_message_delay_expires_without_connections() -> None:
-    """Nothing is measured at a server without connections of this relay: half of them stayed idle for good."""
+    """Without connections there are no new measurements, so half of the servers stayed unused permanently."""
     relay = RelayDriver(servers=2)
     relay.request(1)
     server = relay.attempted_servers(1)[0]
@@ -159,7 +159,7 @@
 
 
 def test_slow_connection_setup_counts_as_overload() -> None:
-    """Guards against a server that is overloaded though neither report nor delay tells of it."""
+    """Detects an overloaded server without load reports and late messages."""
     relay = RelayDriver(servers=4)
     for n in range(1, 21):
         relay.request(n)
@@ -174,7 +174,7 @@
 
 
 def test_unreachable_server_is_ejected_at_once() -> None:
-    """The list shows a dead server seconds late; each relay attempted it three times and more."""
+    """The list drops a dead server seconds late; meanwhile, each relay attempted it three times or more."""
     relay = RelayDriver(servers=4, max_attempts=3)
     for request in range(1, 9):
         relay.request(request)
@@ -189,10 +189,10 @@
 
 
 def test_migration_begins_with_groups_far_from_home() -> None:
-    """Migrations drawn at random left the group's work at both ends."""
+    """Migrating random connections split groups, so that both servers had to do their shared work."""
     relay = RelayDriver(servers=12)
-    there = relay.balancer.servers["s0"]
-    groups = sorted(range(200), key=lambda g: relay.balancer.groups.server_order(g).index(there))
+    server = relay.balancer.servers["s0"]
+    groups = sorted(range(200), key=lambda g: relay.balancer.groups.server_order(g).index(server))
     for request, group in enumerate(groups[:8] + groups[-8:]):
         relay.deliver(relay.now_ms, ConnectionAdopted(request, "feed", "s0", group=group))
     relay.deliver(relay.now_ms, ConnectionMeasured(0, 0, "s0", MeasurementKind.MESSAGE_DELAY, 1_000.0))
@@ -202,7 +202,7 @@
 
 
 def test_delay_within_objective_ejects_server_but_migrates_nothing() -> None:
-    """At 30 of 50 ms all is still served: forty relays that each migrate a third at once empty the server."""
+    """At 30 ms of 50 ms, objectives are met; if 40 relays each migrate a third at once, the server empties."""
     relay = RelayDriver(servers=1)
     for request in range(1, 41):
         relay.request(request)
@@ -215,7 +215,7 @@
 
 
 def test_migrated_fraction_grows_with_message_delay() -> None:
-    """A third at every delay was three times too much at 60 ms and too little at a second."""
+    """Migrating a third at every delay was three times too much at 60 ms and too little at one second."""
     moved = []
     for delay in (60.0, 300.0, 1_200.0):
         relay = RelayDriver(servers=1)
