--- a/tests/test_balancing_placement.py
+++ b/tests/test_balancing_placement.py
@@ -1,4 +1,4 @@
-"""Placement: weighted round robin, zones, health checks before a choice."""
+"""Placement: weighted round robin, zones, and health checks before the choice of a server."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     order = relay.balancer.placement.next_candidates
     request = relay.balancer.admission.register(RequestArrived(9, "feed", 2000.0), 2000.0)
     counts = Counter(int(server.name[1:]) % 3 for _ in range(600) for server in order(request))
-    whole = sum(counts.values())
-    assert [counts[n] / whole for n in range(3)] == pytest.approx([1 / 6, 2 / 6, 3 / 6], abs=0.02)
+    total = sum(counts.values())
+    assert [counts[n] / total for n in range(3)] == pytest.approx([1 / 6, 2 / 6, 3 / 6], abs=0.02)
 
 
 def test_equal_servers_get_equal_turns_without_load_reports() -> None:
@@ -97,7 +97,7 @@
 
 
 def test_heavy_connection_is_placed_where_a_light_one_is() -> None:
-    """Heavy connections, most of the priority weight, were rejected in a fleet that light ones kept full."""
+    """In a fleet filled by light connections, heavy ones with most of the priority weight were rejected."""
     relay = RelayDriver(servers=2, health_checks_report_load=True)
     relay.balancer.load.load_per_weight = 10.0
     for number, load in ((1, 0.1), (2, 5.0)):
