--- a/tests/test_balancing_retries.py
+++ b/tests/test_balancing_retries.py
@@ -49,7 +49,7 @@
         if relay.final_answers(1):
             break
         relay.advance_to(relay.now_ms + 50.0)
-        assert len(relay.attempted_servers(1)) == before  # nothing while an attempt is in flight
+        assert len(relay.attempted_servers(1)) == before  # no new attempt while one is in flight
         relay.end_attempt(1, result)
     relay.advance_to(1100.0)
     assert len(relay.final_answers(1)) == 1
@@ -104,7 +104,7 @@
 
 
 def test_widespread_timeouts_get_all_the_time_and_no_retry() -> None:
-    """A slow session store stayed jammed for 10 s after it recovered, because of retries."""
+    """Retries kept a slow session store overloaded for 10 s after its recovery."""
     relay = RelayDriver(servers=20)
     for n in range(8):
         relay.request(n + 1)
@@ -112,8 +112,8 @@
         relay.end_attempt(n + 1, AttemptResult.TIMEOUT)
     relay.actions.clear()
     relay.request(50)
-    send = relay.actions_of(StartAttempt)[-1]
-    assert send.timeout_at_ms > relay.now_ms + 1900
+    attempt = relay.actions_of(StartAttempt)[-1]
+    assert attempt.timeout_at_ms > relay.now_ms + 1900
     relay.advance_to(relay.now_ms + 300)
     relay.end_attempt(50, AttemptResult.TIMEOUT)
     assert len(relay.attempted_servers(50)) == 1
@@ -132,13 +132,13 @@
 def test_deduplication_scope_decides_retry_server_and_final_answer(
     scope: DeduplicationScope,
 ) -> None:
-    keyed = RequestClass(
+    deduplicated = RequestClass(
         latency_objective_ms=300.0,
         semantics=ExecutionSemantics.DEDUPLICATED,
         deduplication_scope=scope,
         deduplication_window_ms=5000.0,
     )
-    relay = RelayDriver(servers=0, classes={"feed": keyed}, max_attempts=2)
+    relay = RelayDriver(servers=0, classes={"feed": deduplicated}, max_attempts=2)
     relay.update_servers(*(ServerEntry(f"z{n}", zone="ab"[n % 2]) for n in range(8)))
     relay.request(1)
     relay.advance_to(10.0)
@@ -153,7 +153,7 @@
 
 
 def reset_connection(relay: RelayDriver, request: int, result: AttemptResult = AttemptResult.OK) -> None:
-    """Reset an established connection; the health check of whether its server runs ends with `result`."""
+    """Reset an established connection; the health check of its server then ends with `result`."""
     server = relay.attempted_servers(request)[-1]
     relay.end_attempt(request, AttemptResult.RESET, is_final=True)
     for check in [check for check in relay.actions_of(CheckHealth) if check.server == server]:
@@ -162,7 +162,7 @@
 
 
 def is_placed(relay: RelayDriver, request: int, *, is_reconnect: bool = True) -> bool:
-    """Return whether a new client or a reconnect is placed; else it is rejected at once."""
+    """Send a request and return whether it is placed; otherwise it must be rejected at once."""
     relay.actions = [a for a in relay.actions if not isinstance(a, CheckHealth)]
     relay.request(request, group=request, is_reconnect=is_reconnect)
     if relay.final_answers(request):
@@ -175,7 +175,7 @@
 
 
 def relay_with_connections(count: int) -> RelayDriver:
-    """Return a relay with so many established connections."""
+    """Return a relay with this number of established connections."""
     relay = RelayDriver(servers=8, relay_count=40, health_checks_are_timed=True)
     for request in range(1, count + 1):
         assert is_placed(relay, request, is_reconnect=False)
@@ -184,13 +184,13 @@
 
 
 def test_reconnects_are_rejected_while_running_servers_reset_connections() -> None:
-    """An overloaded server resets its heaviest; these reconnect elsewhere and cause the next resets: a storm."""
+    """An overloaded server resets its heaviest connections, whose reconnects overload the next servers."""
     relay = relay_with_connections(20)
     assert is_placed(relay, 100)
     reset_connection(relay, 1)
     assert not is_placed(relay, 101)
-    assert is_placed(relay, 102, is_reconnect=False)  # a new client is not held back
-    # A relay with more connections has a smaller part of the loss, and a shorter pause.
+    assert is_placed(relay, 102, is_reconnect=False)  # new clients are not rejected
+    # The backoff of a relay with more connections is shorter, since its share of the resets is smaller.
     relay.now_ms += RECONNECT_BACKOFF_MS / 20 + 1_000.0
     assert is_placed(relay, 103)
 
@@ -205,7 +205,7 @@
 
 @pytest.mark.parametrize("result", [AttemptResult.UNREACHABLE, AttemptResult.TIMEOUT, AttemptResult.RESET])
 def test_reconnects_after_server_failure_are_placed_at_once(result: AttemptResult) -> None:
-    """After the loss of a zone its clients reach all relays together, and nothing is to hold them back."""
+    """After the loss of a zone, its clients reconnect through all relays and must be placed without delay."""
     relay = relay_with_connections(8)
     reset_connection(relay, 1, result)
     assert is_placed(relay, 101)
