--- a/tests/test_balancing_server_list.py
+++ b/tests/test_balancing_server_list.py
@@ -18,7 +18,7 @@
     ServerListKind,
 )
 
-CALL_TIME, CALL_PATIENCE = 118.0, 2_000.0  # ms: a discovery that serves 8 polls a second and drops old ones
+POLL_TIME_MS, POLL_TIMEOUT_MS = 118.0, 2_000.0  # discovery serves 8 polls per second and drops older ones
 
 
 def test_complete_list_removes_missing_server_until_it_is_listed_again() -> None:
@@ -45,21 +45,21 @@
 
 
 class Discovery:
-    """Serves the polls of all relays one after another; one that waits too long fails, but its work is done."""
+    """Serves the polls of all relays in sequence; a poll that times out fails, but still takes its time."""
 
     def __init__(self) -> None:
-        self.free_at, self.served, self.failed = 0.0, 0, 0
+        self.idle_at, self.served, self.failed = 0.0, 0, 0
 
-    def call(self, now: float) -> tuple[float, bool]:
-        """Return when the answer arrives, and whether it brings the list."""
-        self.free_at = max(self.free_at, now) + CALL_TIME
-        late = self.free_at > now + CALL_PATIENCE
-        self.failed, self.served = self.failed + late, self.served + (not late)
-        return (now + CALL_PATIENCE, False) if late else (self.free_at, True)
+    def poll(self, now: float) -> tuple[float, bool]:
+        """Return the time of the answer, and whether it contains the list."""
+        self.idle_at = max(self.idle_at, now) + POLL_TIME_MS
+        is_late = self.idle_at > now + POLL_TIMEOUT_MS
+        self.failed, self.served = self.failed + is_late, self.served + (not is_late)
+        return (now + POLL_TIMEOUT_MS, False) if is_late else (self.idle_at, True)
 
 
 def start_together(relays: int, restarted: int) -> tuple[Discovery, float]:
-    """Start many relays at once from cached lists; return also when the last one polled without success."""
+    """Start relays at once from cached lists; return discovery and the time of the last event."""
     service, order = Discovery(), itertools.count()
     fleet = [
         RelayDriver(servers=2, seed=n, relay_count=relays, polls_server_list=True) for n in range(restarted)
@@ -73,10 +73,10 @@
         last = max(last, now)
         relay.now_ms = now
         if answer is None:
-            at, fine = service.call(now)
+            at, succeeded = service.poll(now)
             heapq.heappush(
                 due,
-                (at, next(order), relay, ServerListKind.INCREMENTAL if fine else ServerListKind.FAILED),
+                (at, next(order), relay, ServerListKind.INCREMENTAL if succeeded else ServerListKind.FAILED),
             )
             continue
         for action in relay.update_servers(*relay.entries, kind=answer):
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize(("relays", "restarted"), [(1, 1), (2, 2), (8, 8), (40, 40), (40, 30)])
 def test_polls_of_a_fleet_stay_within_discovery_capacity(relays: int, restarted: int) -> None:
-    """Forty that poll within a second are served at a tenth of the rate: each failure is work and a new poll."""
+    """If 40 relays poll within a second, failed polls and their repeats reduce the served rate to a tenth."""
     service, last = start_together(relays, restarted)
     assert service.served == restarted
     assert service.failed <= restarted / 10
@@ -96,4 +96,4 @@
 
 def test_few_relays_poll_within_a_second() -> None:
     for relays in (1, 2, 4):
-        assert start_together(relays, relays)[1] <= 1_000.0 + relays * CALL_TIME
+        assert start_together(relays, relays)[1] <= 1_000.0 + relays * POLL_TIME_MS
