--- a/tests/test_balancing_slow_start.py
+++ b/tests/test_balancing_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start of servers that warm up."""
+"""Slow start of warming-up servers."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
         relay.advance_to(relay.now_ms + 50.0)
         relay.request(n)
     assert relay.now_ms - start < 9000
-    # a quarter of 100 sends would be its even part; a ramp from 0.3 to 0.7 is about half of it
+    # An even share would be a quarter of 100 attempts; the ramp from 0.3 to 0.7 allows about half of that.
     assert 2 <= sum(a.server == "new" for a in relay.actions_of(StartAttempt)) <= 25 * 0.7
 
 
 def test_restarted_relay_sends_nothing_to_warming_up_servers_before_capacity_is_known() -> None:
-    """Restarted relays all met servers that were as new as they, and overloaded them."""
+    """Restarted relays together overloaded servers that had also just started."""
     relay = RelayDriver(
         servers=2,
         slow_start_ms=9000.0,
@@ -58,7 +58,7 @@
 
 
 def test_many_relays_together_fill_a_warming_up_server() -> None:
-    """At 417 relays a server's place in the rotation and its slow-start turn hardly ever met; it stayed idle."""
+    """With 417 relays, a server's rotation turn and slow-start turn rarely coincided, so it stayed idle."""
     sent = 0
     for seed in range(60):
         relay = RelayDriver(
@@ -78,26 +78,28 @@
             relay.advance_to(relay.now_ms + 1000.0)
             relay.request(n + 100)
         sent += sum(a.server == "new" for a in relay.actions_of(StartAttempt))
-    # 600 connections on 40 servers at 0.6 of their capacity: 25 fill the new one
+    # With 600 connections on 40 servers at 0.6 of their capacity, 25 connections fill the new server.
     assert 5 <= sent <= 25
 
 
 def test_server_restarting_during_slow_start_keeps_one_ramp() -> None:
-    """Its earlier slow-start turns went on beside the new ones: twice the rate that it can take."""
+    """Slow-start turns of the previous process continued beside the new ones, at twice the allowed rate."""
     relay = RelayDriver(servers=2, slow_start_ms=9000.0, slow_start_initial_fraction=0.3)
-    relay.balancer.load.load_per_weight = 1_000.0  # slow-start turns 75 ms apart
+    relay.balancer.load.load_per_weight = 1_000.0  # slow-start turns every 75 ms
     for started in (100.0, 200.0, 300.0):
         relay.advance_to(started)
         relay.update_servers(ServerEntry("s0", zone="a", started_at_ms=started))
     for n in range(12):
         relay.advance_to(relay.now_ms + 40.0)
         relay.request(n + 1)
-    assert sum(relay.attempted_servers(n + 1) == ["s0"] for n in range(12)) <= 8  # 480 ms at one turn in 75
+    assert (
+        sum(relay.attempted_servers(n + 1) == ["s0"] for n in range(12)) <= 8
+    )  # 480 ms with a turn every 75 ms
 
 
 def test_retry_avoids_warming_up_server_that_just_failed() -> None:
     relay = RelayDriver(servers=2, slow_start_ms=9000.0, slow_start_initial_fraction=0.3)
-    relay.balancer.load.load_per_weight = 1e6  # its slow-start turns come at once
+    relay.balancer.load.load_per_weight = 1e6  # high capacity: its slow-start turns are due at once
     relay.advance_to(100.0)
     relay.update_servers(ServerEntry("s0", zone="a", started_at_ms=90.0))
     relay.advance_to(101.0)
@@ -109,7 +111,7 @@
 
 
 def test_server_warming_up_at_relay_start_gets_turns_once_capacity_is_known() -> None:
-    """Guards against a restarted relay that uses no server that warms up until it is warm."""
+    """Guards against a restarted relay that doesn't use a warming-up server until its slow start ends."""
     relay = RelayDriver(
         servers=3, slow_start_ms=8000.0, slow_start_initial_fraction=0.4, slow_start_overload_factor=4.0
     )
