--- a/tests/test_balancing_timed_health_checks.py
+++ b/tests/test_balancing_timed_health_checks.py
@@ -1,4 +1,4 @@
-"""Timed health checks: load from the time that a check takes."""
+"""Timed health checks: load derived from the duration of a check."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def timed_relay(servers: int = 4) -> RelayDriver:
-    """Return a relay whose health checks bring no report; each server has ten connections and a check of 3 ms."""
+    """Return a relay with timed checks, ten connections per server on average, and checks of 3 ms."""
     relay = RelayDriver(servers=servers, health_checks_are_timed=True)
     for request in range(1, 10 * servers + 1):
         relay.request(request)
@@ -35,13 +35,13 @@
     return relay
 
 
-def looks_sound(server: Server) -> bool:
-    """Return whether nothing shows load there."""
+def seems_healthy(server: Server) -> bool:
+    """Return whether no high load is known of the server."""
     return (server.load or 0.0) < 0.5
 
 
 def answer_health_checks(relay: RelayDriver, times: dict[str, float]) -> None:
-    """End all pending health checks, those of `times` after so many ms, others after 3 ms."""
+    """End all pending health checks with the durations in `times` (in ms), or 3 ms for other servers."""
     while checks := relay.actions_of(CheckHealth):
         for check in checks:
             relay.actions.remove(check)
@@ -51,7 +51,7 @@
 
 
 def test_slow_health_checks_eject_server_and_migrate_until_they_are_quick_again() -> None:
-    """Guards against a server that looks sound, as its echoes do, until it disconnects its clients."""
+    """Guards against an overloaded server that seems healthy until it disconnects its clients."""
     relay = timed_relay()
     slow = max(relay.balancer.servers.values(), key=lambda s: len(s.connections))
     while not relay.actions_of(Migrate):
@@ -65,25 +65,25 @@
     for _ in range(3):
         relay.advance_to(relay.now_ms + 1100.0)
         answer_health_checks(relay, {})
-    assert looks_sound(slow)
+    assert seems_healthy(slow)
 
 
-@pytest.mark.parametrize(("swing", "room"), [(0.0, True), (8.0, True), (20.0, False)])
-def test_network_time_to_another_zone_is_no_load(swing: float, room: bool) -> None:
-    """A health check takes 2 ms in the own zone and 32 there, where the network's time alone varies."""
+@pytest.mark.parametrize(("extra_ms", "is_healthy"), [(0.0, True), (8.0, True), (20.0, False)])
+def test_network_time_to_another_zone_is_no_load(extra_ms: float, is_healthy: bool) -> None:
+    """A health check takes 2 ms in the local zone and 32 ms in the other, where the network time varies."""
     relay = RelayDriver(servers=0, health_checks_are_timed=True)
     relay.update_servers(*(ServerEntry(f"{zone}{n}", zone=zone) for zone in "ab" for n in range(3)))
     far = {f"b{n}": 32.0 for n in range(3)}
     for server in relay.balancer.servers:
         relay.deliver(relay.now_ms, HealthCheckEnded(server, AttemptResult.OK, far.get(server, 2.0)))
-    assert all(map(looks_sound, relay.balancer.servers.values()))
-    for _ in range(2):  # one slow health check is a pause
-        relay.deliver(relay.now_ms + 200.0, HealthCheckEnded("b0", AttemptResult.OK, 32.0 + swing))
-    assert looks_sound(relay.balancer.servers["b0"]) == room
+    assert all(map(seems_healthy, relay.balancer.servers.values()))
+    for _ in range(2):  # a single slow check counts as a process pause
+        relay.deliver(relay.now_ms + 200.0, HealthCheckEnded("b0", AttemptResult.OK, 32.0 + extra_ms))
+    assert seems_healthy(relay.balancer.servers["b0"]) == is_healthy
 
 
 def test_single_slow_health_check_or_setup_migrates_nothing() -> None:
-    """Guards against emptying a sound server whose process paused: a second check starts at once."""
+    """Guards against migrating from a healthy server whose process paused: a second check starts at once."""
     relay = timed_relay()
     slow = max(relay.balancer.servers.values(), key=lambda s: len(s.connections))
     while not relay.actions_of(CheckHealth):
@@ -102,12 +102,12 @@
     relay.deliver(relay.now_ms, ConnectionEstablished(request, 0, slow.name, 60.0))
     assert [check.server for check in relay.actions_of(CheckHealth)] == [slow.name]
     answer_health_checks(relay, {})
-    assert looks_sound(slow)
+    assert seems_healthy(slow)
     assert not relay.actions_of(Migrate)
 
 
 def test_one_overloaded_server_of_five_leaves_budgets_unbound() -> None:
-    """Guards against rejecting clients of a restarted relay while four servers of five have capacity."""
+    """Guards against a restarted relay that rejects clients although four of five servers have capacity."""
     relay = timed_relay(5)
     slow = next(iter(relay.balancer.servers.values()))
     for _ in range(8):
@@ -115,12 +115,12 @@
         relay.advance_to(relay.now_ms + 1100.0)
         relay.deliver(relay.now_ms, HealthCheckEnded(slow.name, AttemptResult.OK, 20.0))
         answer_health_checks(relay, {slow.name: 20.0})
-    assert not looks_sound(slow)
+    assert not seems_healthy(slow)
     assert all(t.budget == math.inf for t in relay.balancer.context.tenants.values())
 
 
 def test_servers_without_connections_are_not_checked_periodically() -> None:
-    """A health check has its cost: servers without connections of this relay are not checked."""
+    """Checks have a cost, so servers without connections of this relay are not checked periodically."""
     relay = timed_relay(2)
     for request in list(relay.balancer.servers["s0"].connections):
         relay.end_attempt(request, AttemptResult.OK, is_final=True)
@@ -131,7 +131,7 @@
 
 
 def test_simultaneous_slow_health_checks_count_as_own_pause() -> None:
-    """Guards against a flood of faulty clients: it delays this process, and sound servers would be emptied."""
+    """A flood of faulty clients delays this process, which must not migrate from healthy servers then."""
     relay = timed_relay()
     for _ in range(3):
         while len(relay.actions_of(CheckHealth)) < 3:
@@ -143,11 +143,11 @@
                 relay.deliver(relay.now_ms, HealthCheckEnded(check.server, AttemptResult.OK, 20.0))
         relay.advance_to(relay.now_ms + 200.0)
     assert not relay.actions_of(Migrate)
-    assert all(map(looks_sound, relay.balancer.servers.values()))
+    assert all(map(seems_healthy, relay.balancer.servers.values()))
 
 
 def test_measured_message_delay_outlasts_quick_health_check() -> None:
-    """Messages wait for a backlog that a health check does not wait for."""
+    """Messages wait behind a server's backlog, which a health check bypasses."""
     relay = RelayDriver(servers=2, health_checks_are_timed=True)
     relay.balancer.health_checks.start(server := relay.balancer.servers["s0"])
     relay.deliver(1.0, HealthCheckEnded("s0", AttemptResult.OK, 2.0))
