--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The controller alone, on a loop and with no socket."""
+"""The controller by itself, on an event loop without sockets."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 
 def test_timer_never_fires_early_after_a_long_loop_iteration() -> None:
-    """Guards against a request held for ever: the module ignores a timer that fires before its time."""
+    """A request whose only timer fires early would wait forever, since the module ignores early timers."""
 
     async def test() -> None:
         core = make_controller(0)
-        time.sleep(0.03)  # uvloop counts delays from the start of this round
+        time.sleep(0.03)  # uvloop measures delays from the start of this loop iteration
         started_at = monotonic_ms()
         decision = await open_request(core).next_decision()
         assert isinstance(decision, Reject)
@@ -101,13 +101,13 @@
         core.update_server_list(
             ServerListUpdate(ServerListKind.INCREMENTAL, (replace(old, started_at_ms=old.started_at_ms + 1),))
         )
-        assert core.accepts_new_work("s0")  # another process: the report was not of it
+        assert core.accepts_new_work("s0")  # another process of the server, to which the report doesn't apply
 
     uvloop.run(test())
 
 
 def test_self_reported_draining_is_trusted_after_a_ban_was_lifted() -> None:
-    """The list does not know of its restart: the start that counts is when the ban was lifted."""
+    """While the list shows no restart, the time when the ban was lifted counts as the server's start."""
 
     async def test() -> None:
         core = make_controller(2)
@@ -144,7 +144,7 @@
 def test_removed_classes_stay_known_for_open_requests_and_then_expire(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """For ever their latency objectives would count, and they would grow with each reload."""
+    """Removed classes that never expire would accumulate with each reload, and their objectives would apply."""
 
     async def test() -> None:
         monkeypatch.setattr(controller_module, "REMOVED_CLASS_TTL_SECONDS", 0.05)
@@ -156,7 +156,7 @@
                 reports_message_delay=False,
             )
             assert {"feed", name} <= core.settings.classes.keys()
-        open_request(core)  # read before the reload
+        open_request(core)  # a request that was read before the reload
         while len(core.settings.classes) > 1:
             await asyncio.sleep(0.01)
         assert core.settings.classes.keys() == core.balancer.context.settings.classes.keys() == {"b"}
@@ -165,7 +165,7 @@
 
 
 def test_servers_that_departed_long_ago_are_forgotten() -> None:
-    """A line for each server ever listed stayed for the life of the process; those that are listed stay."""
+    """The process kept an entry for each server that was ever listed; only listed servers must stay."""
 
     def apply_change(core: Controller, directory: ServerDirectory, name: str, state: str) -> None:
         entry = {"id": name, "addr": "127.0.0.1:9", "state": state}
