--- a/tests/relay_driver.py
+++ b/tests/relay_driver.py
@@ -1,4 +1,4 @@
-"""Drives one relay's decision module by hand: events go in one by one, the actions that come out are recorded."""
+"""Drives the decision module of one relay in tests: delivers events one by one and records the actions."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 from violetdoor.balancing.settings import BalancerSettings, RequestClass
 
 ActionType = TypeVar("ActionType")
-NO_REQUEST = 0  # id that no request has
+NO_REQUEST = 0  # an id without a request
 
 
 class RelayDriver:
-    """A relay with some equal servers in its own zone; timers fire as its time goes on."""
+    """A relay with equal servers in its zone; timers fire as its virtual time advances."""
 
     def __init__(
         self, servers: int = 4, seed: int = 1, weights: list[float] | None = None, **settings: object
@@ -74,22 +74,22 @@
         return actions
 
     def advance_to(self, now_ms: float) -> None:
-        """Let time go on to `now_ms`."""
+        """Advance the time to `now_ms`."""
         self.deliver(now_ms, RequestAbandoned(NO_REQUEST))
 
     def update_servers(
         self, *entries: ServerEntry, kind: ServerListKind = ServerListKind.INCREMENTAL
     ) -> list[Action]:
-        """Deliver a server list or a change of it."""
+        """Deliver a server list or a change of the list."""
         return self.deliver(self.now_ms, ServerListUpdate(kind, tuple(entries)))
 
     def request(self, request_id: int, time_left_ms: float = 2000.0, **values: object) -> list[Action]:
-        """Let a request arrive."""
+        """Deliver the arrival of a request."""
         arrival = RequestArrived(request_id, "feed", time_left_ms, **values)  # type: ignore[arg-type]
         return self.deliver(self.now_ms, arrival)
 
     def end_attempt(self, request_id: int, result: AttemptResult, *, is_final: bool = False) -> list[Action]:
-        """End the latest attempt of a request."""
+        """End the latest attempt of a request with `result`."""
         servers = self.attempted_servers(request_id)
         return self.deliver(
             self.now_ms,
@@ -97,7 +97,7 @@
         )
 
     def establish(self, request_id: int) -> None:
-        """Let the latest attempt of a request succeed."""
+        """Establish the connection of the latest attempt of a request."""
         servers = self.attempted_servers(request_id)
         self.deliver(self.now_ms, ConnectionEstablished(request_id, len(servers) - 1, servers[-1], 1.0))
 
@@ -112,7 +112,7 @@
         ]
 
     def final_answers(self, request_id: int) -> list[Action]:
-        """Return what a request was answered finally."""
+        """Return the final answers of a request."""
         return [
             action
             for action in self.actions
@@ -122,7 +122,7 @@
     def finish_health_checks(
         self, load: float, loads: dict[str, float] | None = None, after_ms: float = 1.0
     ) -> None:
-        """End every pending health check with a load report."""
+        """End every pending health check with a load report: the server's in `loads`, or `load`."""
         for check in self.actions_of(CheckHealth):
             self.actions.remove(check)
             report = {"load": (loads or {}).get(check.server, load)}
@@ -133,7 +133,7 @@
             after_ms = 0.0
 
     def finish_timed_health_checks(self, times_ms: dict[str, float], default_ms: float) -> None:
-        """End every pending health check without a report, after the server's time or the default one."""
+        """End every pending health check without a report; its duration is the server's or the default."""
         for check in self.actions_of(CheckHealth):
             self.actions.remove(check)
             latency_ms = times_ms.get(check.server, default_ms)
