--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -1,6 +1,6 @@
-"""A fleet of decision modules and its servers in virtual time; counts the attempts at servers that warm up.
+"""A fleet of decision modules with servers in virtual time; it counts the attempts at warming-up servers.
 
-No sockets: actions come out of each module, and their results go back as events at a later time. All times are ms.
+There are no sockets: the actions of each module result in events at a later time. All times are in ms.
 """
 
 from __future__ import annotations
@@ -31,34 +31,34 @@
 )
 from violetdoor.balancing.settings import BalancerSettings, ExecutionSemantics, RequestClass
 
-START_MS = 1_000_000.0  # on the clock by which servers report their start
-SETUP_MS = 3.0  # time that setting up a connection takes
-IDLE_HEALTH_CHECK_MS = 2.0  # time of a health check of an idle server
-CLIENT_TIMEOUT_MS = 2_000.0  # time that a client waits for its answer
-RECONNECT_DELAY_MS = (71.0, 1_900.0)  # range of the time until a client whose connection broke is back
-MIGRATION_RECONNECT_DELAY_MS = 100.0  # time until a client whose connection was migrated is back
-LATE_MESSAGE_LOAD = 0.95  # load over capacity from which messages are late, measured each second
+START_MS = 1_000_000.0  # start of the simulation on the clock of servers' start times
+SETUP_MS = 3.0  # time to set up a connection
+IDLE_HEALTH_CHECK_MS = 2.0  # duration of a health check of an idle server
+CLIENT_TIMEOUT_MS = 2_000.0  # time limit of a client for its final answer
+RECONNECT_DELAY_MS = (71.0, 1_900.0)  # range of the delay of a reconnect after a broken connection
+MIGRATION_RECONNECT_DELAY_MS = 100.0  # delay of a reconnect after a migration
+LATE_MESSAGE_LOAD = 0.95  # load over capacity above which messages are late
 MESSAGE_LATENCY_OBJECTIVE_MS = 50.0
 
 
 @dataclass(frozen=True)
 class Site:
-    """Settings and machines of a deployment, as far as slow start depends on them."""
+    """The settings and machines of a deployment on which slow start depends."""
 
-    capacity: float = 60.0  # connections that fill a warm server
+    capacity: float = 60.0  # connections that a warm server can have
     slow_start_ms: float = 8_900.0
     slow_start_initial_fraction: float = 0.38
-    slow_start_overload_factor: float = 4.0  # times its capacity at that moment at which a server fails
-    overload_window_ms: float = 3_000.0  # in which attempts are counted for that
+    slow_start_overload_factor: float = 4.0  # multiple of the current capacity at which a server fails
+    overload_window_ms: float = 3_000.0  # window in which attempts count toward that
     servers: int = 14
     relays: int = 30
-    mean_load: float = 0.6  # over capacity
+    mean_load: float = 0.6  # load over capacity
     connection_lifetime_ms: float = 35_000.0
-    groups: int = 0  # 0: connections belong to none
+    groups: int = 0  # number of groups; 0: connections have no group
     semantics: ExecutionSemantics = ExecutionSemantics.IDEMPOTENT
 
     def allowed_attempts(self, capacity_fraction: float) -> float:
-        """Return how many attempts in one window a server of this capacity takes, with an allowance for chance."""
+        """Return the allowed attempts per window at this capacity, with an allowance for random variation."""
         budget = (
             self.slow_start_overload_factor
             * capacity_fraction
@@ -71,18 +71,18 @@
 
 @dataclass(eq=False)
 class Server:
-    """A server and the attempts that reached it."""
+    """A server with its clients and the attempts at it."""
 
     entry: ServerEntry
     clients: dict[int, Client] = field(default_factory=dict)
-    attempted_at_ms: list[float] = field(default_factory=list)  # since its start
+    attempted_at_ms: list[float] = field(default_factory=list)  # attempts since its start
     is_up: bool = True
     is_hanging: bool = False
 
 
 @dataclass(eq=False)
 class Client:
-    """A client and its connection or request."""
+    """A client with its current request or connection."""
 
     id: int
     group: int | None
@@ -94,7 +94,7 @@
 
 
 class Fleet:
-    """Relays, servers and clients; all chance is drawn from one seed."""
+    """Relays, servers and clients; all random numbers derive from one seed."""
 
     def __init__(self, site: Site, seed: int) -> None:
         self.site = site
@@ -129,7 +129,7 @@
         self.arrivals_per_ms = site.mean_load * site.servers * site.capacity / site.connection_lifetime_ms
         for n in range(site.relays):
             self.deliver(n, ServerListUpdate(ServerListKind.COMPLETE, self.entries()))
-        for _ in range(int(self.arrivals_per_ms * site.connection_lifetime_ms)):  # connected at the start
+        for _ in range(int(self.arrivals_per_ms * site.connection_lifetime_ms)):  # initial connections
             self.schedule(
                 START_MS + self.random.uniform(0.0, 2_000.0), self.connect, self.new_client(), False
             )
@@ -146,7 +146,7 @@
         heapq.heappush(self.queue, (max(self.now_ms, when_ms), next(self.sequence), callback, values))
 
     def advance(self, until_ms: float) -> Fleet:
-        """Advance to so many ms after the start."""
+        """Advance to `until_ms` after the start."""
         while self.queue[0][0] < START_MS + until_ms:
             self.now_ms, _, callback, values = heapq.heappop(self.queue)
             callback(*values)
@@ -156,7 +156,7 @@
     # Faults.
 
     def start_server(self, name: str) -> Server:
-        """Start a server that has to warm up, and announce it to all relays at once."""
+        """Start a server in slow start and announce it to all relays at once."""
         server = self.servers[name] = Server(ServerEntry(name, "a", started_at_ms=self.now_ms))
         self.announce(server.entry)
         return server
@@ -166,14 +166,14 @@
             self.deliver(n, ServerListUpdate(ServerListKind.INCREMENTAL, (entry,)))
 
     def crash_server(self, name: str) -> None:
-        """Fail a server: its clients reconnect, its attempts in flight may have been executed."""
+        """Crash a server: its clients reconnect, and its attempts in flight may have been executed."""
         server = self.servers[name]
         server.is_up = False
         for client in list(server.clients.values()):
             self.break_connection(client, AttemptResult.RESET)
 
     def restart_relay(self, relay: int) -> None:
-        """Kill a relay and start it again from its cached list; its clients reconnect to any relay."""
+        """Restart a relay from its cached server list; its clients reconnect to random relays."""
         clients = list(self.requests[relay].values())
         self.requests[relay].clear()
         self.incarnations[relay] += 1
@@ -190,7 +190,7 @@
 
     def new_client(self) -> Client:
         group = None
-        if self.site.groups:  # a few groups are large
+        if self.site.groups:  # Pareto distribution: a few groups are large
             group = min(int(self.random.paretovariate(0.7)), self.site.groups)
         return Client(next(self.ids), group)
 
@@ -199,7 +199,7 @@
         self.connect(self.new_client(), False)
 
     def multiply_traffic(self, factor: float) -> None:
-        """Let traffic grow by this factor."""
+        """Multiply the arrival rate of clients."""
         self.arrivals_per_ms *= factor
 
     def connect(self, client: Client, is_reconnect: bool) -> None:
@@ -331,7 +331,7 @@
             self.end_attempt(client, client.request_id, client.attempt, result)
 
     def end_attempt(self, client: Client, request_id: int, attempt: int, result: AttemptResult) -> None:
-        """End an attempt without a connection; its relay may retry."""
+        """End an attempt that has no connection yet; its relay may retry."""
         if (client.request_id, client.attempt) != (request_id, attempt) or client.server is None:
             return
         server, client.server = client.server, None
@@ -366,7 +366,7 @@
         return len(server.clients) / (self.site.capacity * self.capacity_fraction(server, self.now_ms))
 
     def measure_message_delays(self) -> None:
-        """Measure each second, on one connection of each relay, how late an overloaded server's messages are."""
+        """Report late messages of overloaded servers each second, on one connection per relay and server."""
         self.schedule(self.now_ms + 1_000.0, self.measure_message_delays)
         for server in self.servers.values():
             if not server.is_up or (excess_load := self.load(server) - LATE_MESSAGE_LOAD) <= 0:
@@ -382,8 +382,8 @@
                     )
 
     def worst_window(self, server: Server) -> tuple[float, int, float]:
-        """Return the window of slow start with the most attempts: fraction of the allowed, attempts, allowed."""
-        found, first = (0.0, 0, 0.0), 0
+        """Return the worst window during slow start: attempts over allowed attempts, attempts, allowed attempts."""
+        worst, first = (0.0, 0, 0.0), 0
         for last, at in enumerate(server.attempted_at_ms):
             while server.attempted_at_ms[first] <= at - self.site.overload_window_ms:
                 first += 1
@@ -395,5 +395,5 @@
                     server, max(server.entry.started_at_ms, at - self.site.overload_window_ms)
                 )
             )
-            found = max(found, (count / allowed, count, allowed))
-        return found
+            worst = max(worst, (count / allowed, count, allowed))
+        return worst
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""Slow start of a fleet: all relays' attempts at a server in one window stay within N + 2 x root of N + 2."""
+"""Slow start of a fleet: the attempts of all relays at a server per window stay within N + 2 sqrt(N) + 2."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from violetdoor.balancing.settings import ExecutionSemantics
 
-LARGE = Site()  # N is 31 when it starts
+LARGE = Site()  # N is 31 at the start of a server
 SMALL = replace(
     LARGE,
     capacity=24.0,
@@ -20,11 +20,11 @@
     overload_window_ms=1_500.0,
     servers=20,
 )
-LOADS_KNOWN_MS = 12_000.0  # ms until loads are known
+LOADS_KNOWN_MS = 12_000.0  # from the start of the fleet until loads are known
 
 
 def start_servers(fleet: Fleet, count: int = 1) -> list[Server]:
-    """Start servers that are announced to all relays at once."""
+    """Start servers and announce them to all relays at once."""
     fleet.advance(LOADS_KNOWN_MS)
     return [fleet.start_server(f"new{n}") for n in range(count)]
 
@@ -35,9 +35,9 @@
 
 def growing_traffic(fleet: Fleet) -> list[Server]:
     """Start three servers while traffic more than doubles."""
-    found = start_servers(fleet, 3)
+    servers = start_servers(fleet, 3)
     fleet.multiply_traffic(2.4)
-    return found
+    return servers
 
 
 def restarted_servers(fleet: Fleet) -> list[Server]:
@@ -52,32 +52,32 @@
 
 def restarted_relays(fleet: Fleet) -> list[Server]:
     """Restart all relays, one after another, while a server warms up."""
-    found = start_servers(fleet)
+    servers = start_servers(fleet)
     for n in range(len(fleet.relays)):
         fleet.schedule(fleet.now_ms + 100.0 * n, fleet.restart_relay, n)
-    return found
+    return servers
 
 
 def retries_of_hanging_requests(fleet: Fleet) -> list[Server]:
     """Restart four servers while others hang and fail: requests that may have been executed are retried."""
-    found = restarted_servers(fleet)
+    servers = restarted_servers(fleet)
     fleet.multiply_traffic(2.0)
     fleet.advance(LOADS_KNOWN_MS + 1_300.0)
-    others = [f"s{n}" for n in range(4, 11)]
-    for name in others:
+    hanging = [f"s{n}" for n in range(4, 11)]
+    for name in hanging:
         fleet.servers[name].is_hanging = True
     fleet.advance(LOADS_KNOWN_MS + 2_000.0)
-    for name in others:
+    for name in hanging:
         fleet.crash_server(name)
-    return found
+    return servers
 
 
 def worst_window(site: Site, fault: Callable[[Fleet], list[Server]], seed: int) -> tuple[float, int, float]:
     fleet = Fleet(site, seed)
-    cold = fault(fleet)
+    servers = fault(fleet)
     fleet.advance(fleet.now_ms - START_MS + site.slow_start_ms)
-    assert any(server.attempted_at_ms for server in cold)  # they are used
-    return max(fleet.worst_window(server) for server in cold)
+    assert any(server.attempted_at_ms for server in servers)  # the warming-up servers are used
+    return max(fleet.worst_window(server) for server in servers)
 
 
 @pytest.mark.parametrize("fault", [steady_traffic, growing_traffic, restarted_servers, restarted_relays])
@@ -89,13 +89,13 @@
 ) -> None:
     for seed in (1, 2):
         used_fraction, attempts, allowed = worst_window(replace(site, groups=groups), fault, seed)
-        assert used_fraction <= 1.0, f"{attempts} where {allowed:.1f} are allowed"
+        assert used_fraction <= 1.0, f"{attempts} attempts, but only {allowed:.1f} are allowed"
 
 
 @pytest.mark.parametrize("relays", [20, 30])
 def test_retries_stay_within_the_slow_start_ramp(relays: int) -> None:
-    """They went to the first servers of the list, warm or not: 15 where 3.9 are allowed."""
+    """Retries went to the first listed servers even during slow start: 15 attempts where 3.9 are allowed."""
     for seed in (1, 2, 3):
         site = replace(SMALL, relays=relays, semantics=ExecutionSemantics.DEDUPLICATED)
         used_fraction, attempts, allowed = worst_window(site, retries_of_hanging_requests, seed)
-        assert used_fraction <= 1.0, f"{attempts} where {allowed:.1f} are allowed"
+        assert used_fraction <= 1.0, f"{attempts} attempts, but only {allowed:.1f} are allowed"
