--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -45,11 +45,11 @@
 class Site:
     """The settings and machines of a deployment on which slow start depends."""
 
-    capacity: float = 60.0  # connections that a warm server can have
+    capacity: float = 60.0  # connections that use the full capacity of a warm server
     slow_start_ms: float = 8_900.0
     slow_start_initial_fraction: float = 0.38
     slow_start_overload_factor: float = 4.0  # multiple of the current capacity at which a server fails
-    overload_window_ms: float = 3_000.0  # window in which attempts count toward that
+    overload_window_ms: float = 3_000.0  # window in which attempts count toward overload
     servers: int = 14
     relays: int = 30
     mean_load: float = 0.6  # load over capacity
--- a/tests/test_balancing_slow_start.py
+++ b/tests/test_balancing_slow_start.py
@@ -92,9 +92,8 @@
     for n in range(12):
         relay.advance_to(relay.now_ms + 40.0)
         relay.request(n + 1)
-    assert (
-        sum(relay.attempted_servers(n + 1) == ["s0"] for n in range(12)) <= 8
-    )  # 480 ms with a turn every 75 ms
+    # 480 ms with a turn every 75 ms.
+    assert sum(relay.attempted_servers(n + 1) == ["s0"] for n in range(12)) <= 8
 
 
 def test_retry_avoids_warming_up_server_that_just_failed() -> None:
--- a/violetdoor/balancing/health_checks.py
+++ b/violetdoor/balancing/health_checks.py
@@ -10,7 +10,7 @@
 from violetdoor.balancing.model import Request, Server
 
 MAX_HEALTH_CHECK_WAIT_MS = 60.0  # limit for placements; several times the usual duration of a check
-CONNECTIONS_PER_CHECK = 20  # connections to a server from which it is checked in every interval
+CONNECTIONS_PER_CHECK = 20  # connections from which a server is checked in every interval; fewer: rarer
 
 
 class HealthChecks:
--- a/violetdoor/core/health_checks.py
+++ b/violetdoor/core/health_checks.py
@@ -19,9 +19,7 @@
         self, accepts_new_work: Callable[[str], bool], emit: Callable[[HealthCheckEnded], None]
     ) -> None:
         """Pass results to `emit`; a server that accepts no new work counts as unreachable without a check."""
-        self.checker: HealthChecker | None = (
-            None  # set by the front; without one, checks report servers as unreachable
-        )
+        self.checker: HealthChecker | None = None  # set by the front; None: no server can be checked
         self.should_defer: Callable[[], bool] = lambda: False
         self.are_paused = False  # while another process of this relay runs the checks
         self._accepts_new_work = accepts_new_work
