--- a/violetdoor/control/messages.py
+++ b/violetdoor/control/messages.py
@@ -1,9 +1,9 @@
 """Messages of the control plane: between relays and control machines, within a group, and between regions.
 
-All are msgpack arrays: the order of the fields and the tags are the format, names are not sent. A later
-version adds fields at the end of an array; a reader skips what it does not know, and a missing field takes
-its default. Every connection carries sealed frames in order, so a message is either delivered in the order in
-which it was sent or its connection breaks.
+Every message is a msgpack array: the order of the fields and the tag define the format, field names are not
+sent. A later version adds fields at the end of an array; a reader skips unknown trailing fields, and a
+missing field takes its default. Every connection carries sealed frames in order, so messages arrive in the
+order in which they were sent, or the connection breaks.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 
 from violetdoor.fleet.messages import MapEntry
 
-# Spoken by both sides of a session; a peer with another version is rejected.
+# Version of the session protocol; a peer with another version is rejected.
 PROTOCOL_VERSION = 1
-# Of one frame with its seal.
+# Maximum size of one frame, including its seal.
 MAX_FRAME_BYTES = 64 * 1024
-# Of what a relay sends about itself, in UTF-8.
+# Maximum sizes of a relay's own texts, encoded in UTF-8.
 MAX_NAME_BYTES = 80
 MAX_HOST_BYTES = 80
 MAX_ZONE_BYTES = 40
-# Of one encoded `Relay`: its texts, its numbers and the headers of the array.
+# Maximum size of an encoded `Relay`; 20 bytes are for its numbers and the msgpack headers.
 MAX_RELAY_BYTES = MAX_NAME_BYTES + MAX_HOST_BYTES + MAX_ZONE_BYTES + 20
-# Of one encoded `RelayKey`.
+# Maximum size of an encoded `RelayKey`.
 MAX_RELAY_KEY_BYTES = MAX_NAME_BYTES + 12
-# Members in one `SnapshotChunk`: about 16 KiB, and 55 KB at the most.
+# Maximum number of members in one `SnapshotChunk`: usually about 16 KiB, never more than 55 KB.
 MAX_CHUNK_MEMBERS = 250
-# Entries of the shared map in one `Entries`.
+# Maximum number of shared map entries in one message.
 MAX_MESSAGE_ENTRIES = 250
-# Of a key whose owner is requested with `Lookup`.
+# Maximum length of the key in a `Lookup`.
 MAX_LOOKUP_KEY_CHARACTERS = 1024
-# Of a key of the shared map: `MAX_MESSAGE_ENTRIES` with such keys fit into a frame.
+# Maximum size of a shared map key: `MAX_MESSAGE_ENTRIES` entries with such keys fit into a frame.
 MAX_ENTRY_KEY_BYTES = 128
 
 RejectionReason = Literal["busy", "full", "name", "behind", "not ready", "region", "version"]
@@ -43,9 +43,9 @@
 class Version(Struct, frozen=True, array_like=True, order=True):
     """The version of a region's roster.
 
-    `epoch` and `term` are the view of the control group in which the leader that wrote it took over; `index`
-    counts the rosters of that leader's term. Versions of one epoch are ordered and never decrease; those of
-    different epochs have no order.
+    `epoch` and `term` identify the view of the control group in which the leader that wrote the roster took
+    over; `index` counts the rosters of that term. Versions of one epoch are ordered and never decrease;
+    versions of different epochs can't be compared.
     """
 
     epoch: int
@@ -53,12 +53,12 @@
     index: int
 
     def __str__(self) -> str:
-        """Return the form of logs and of the console."""
+        """Return the text that logs and the console show."""
         return f"{self.epoch:x}/{self.term}/{self.index}"
 
 
 class Relay(Struct, frozen=True, array_like=True):
-    """One running relay. `instance` is its incarnation: drawn at each start, handed over in an upgrade."""
+    """A running relay. `instance` is a random number drawn at each start and kept across an upgrade."""
 
     name: str
     instance: int
@@ -68,14 +68,14 @@
 
 
 class RelayKey(Struct, frozen=True, array_like=True, order=True):
-    """The identity of one run of a relay."""
+    """The identity of one run of a relay: a restart has the same name and another instance."""
 
     name: str
     instance: int
 
 
 class Delta(Struct, frozen=True, array_like=True):
-    """The relays that joined and departed since the roster `base`. A restarted relay is in both."""
+    """The relays that joined and departed since the roster version `base`. A restarted relay is in both."""
 
     base: Version
     version: Version
@@ -91,7 +91,7 @@
 
 
 class RegionCount(Struct, frozen=True, array_like=True):
-    """What relays are sent about another region: its relays by zone, and the age of these counts."""
+    """The number of relays in another region by zone, and the age of these counts."""
 
     region: str
     version: Version
@@ -99,53 +99,53 @@
     age_seconds: float = 0.0
 
 
-# Requests: from a relay, or a control machine of another region, to a control machine.
+# Session requests: sent to a control machine by a relay, or by a control machine of another region.
 
 
 class Attach(Struct, frozen=True, array_like=True, tag=1):
-    """Open a session of a relay. `attempt` counts the sessions of this instance: the newest one is valid."""
+    """Open a session for a relay. `attempt` counts the sessions of this instance; the newest one is valid."""
 
     protocol_version: int
     region: str
     relay: Relay
     attempt: int
-    known_version: Version | None = None  # the complete roster that the relay has; none: send a snapshot
-    entries_digest: int = 0  # of the shared map that the relay has
+    known_version: Version | None = None  # version of the relay's complete roster; None requests a snapshot
+    entries_digest: int = 0  # digest of the relay's shared map
 
 
 class Heartbeat(Struct, frozen=True, array_like=True, tag=2):
-    """Request a lease from the moment at which this was sent, and acknowledge rosters up to a version."""
+    """Request a lease that starts when this was sent, and acknowledge all rosters up to `applied_version`."""
 
     number: int
     applied_version: Version | None
 
 
 class PutEntries(Struct, frozen=True, array_like=True, tag=3):
-    """Set entries of the shared map: they were set at this relay."""
+    """Merge entries that were set at this relay into the shared map."""
 
     entries: tuple[MapEntry, ...]
 
 
 class Leave(Struct, frozen=True, array_like=True, tag=4):
-    """Leave the region: the relay does nothing any more that needs a lease."""
+    """Leave the region: from now on the relay does nothing that requires a lease."""
 
 
 class Lookup(Struct, frozen=True, array_like=True, tag=5):
-    """Request the owner of a key, in whichever region."""
+    """Request the owner of a key of any region."""
 
     number: int
     key: str
 
 
 class Resync(Struct, frozen=True, array_like=True, tag=6):
-    """Request a snapshot of the roster: a delta did not follow the roster that is known."""
+    """Request a snapshot of the roster, because a delta could not be applied."""
 
 
 class Watch(Struct, frozen=True, array_like=True, tag=7):
-    """Open a session of another region's control machine, which watches this region's roster."""
+    """Open a session for a control machine of another region, to receive this region's roster."""
 
     protocol_version: int
-    region: str  # that is to be watched
+    region: str  # the region to watch
     watcher_name: str  # name of the requesting control machine
     watcher_region: str
     known_version: Version | None = None
@@ -155,26 +155,27 @@
 SessionRequest = Attach | Heartbeat | PutEntries | Leave | Lookup | Resync | Watch
 
 
-# Responses and updates: from a control machine to a session.
+# Session responses and updates: sent by a control machine.
 
 
 class Welcome(Struct, frozen=True, array_like=True, tag=1):
-    """The session is open."""
+    """Confirm that the session is open."""
 
     control_name: str
     region: str
-    regions: tuple[str, ...]  # all regions of the fleet, in the order of their names
+    regions: tuple[str, ...]  # all regions of the fleet, sorted by name
     heartbeat_interval_seconds: float
-    idle_timeout_seconds: float  # without a message after which the other side closes the session
-    lease_seconds: float  # granted for a heartbeat
+    idle_timeout_seconds: float  # the peer closes the session when it receives nothing for this long
+    lease_seconds: float  # duration of the lease that a heartbeat is granted
 
 
 class Rejected(Struct, frozen=True, array_like=True, tag=2):
-    """The session is not opened.
+    """Reject the session.
 
-    `busy`: too many attaches a second; `full`: too many sessions; `name`: another run of a relay of this name
-    is alive; `behind`: this machine's roster is older than the relay's; `not ready`: the machine has no lease
-    in its group, or stops; `region`, `version`: not the ones of this machine.
+    `busy`: too many attaches per second; `full`: too many sessions; `name`: another run of a relay with this
+    name is alive; `behind`: this machine's roster is older than the peer's; `not ready`: this machine has no
+    lease in its group, or is stopping; `region`, `version`: this machine has another region or protocol
+    version.
     """
 
     reason: RejectionReason
@@ -182,7 +183,7 @@
 
 
 class SnapshotChunk(Struct, frozen=True, array_like=True, tag=3):
-    """A part of the complete roster at `version`; the last one has the `number` `chunk_count - 1`."""
+    """Part of the complete roster at `version`; `number` counts the chunks from 0."""
 
     version: Version
     number: int
@@ -197,10 +198,10 @@
 
 
 class HeartbeatAck(Struct, frozen=True, array_like=True, tag=5):
-    """A lease for `lease_seconds` from when heartbeat `number` was sent; 0 where none is granted.
+    """Grant a lease of `lease_seconds` from the time when heartbeat `number` was sent; 0 grants none.
 
-    It was granted under the roster `version`, which was sent before on this connection. `settled` is the
-    newest version such that no lease under an older roster can hold any more.
+    The lease is granted under the roster `version`, which was sent earlier on this connection. `settled` is
+    the newest version for which all leases granted under older rosters have expired.
     """
 
     number: int
@@ -210,7 +211,7 @@
 
 
 class RegionCounts(Struct, frozen=True, array_like=True, tag=6):
-    """The counts of other regions that have changed."""
+    """Counts of those other regions whose counts have changed."""
 
     counts: tuple[RegionCount, ...]
 
@@ -218,7 +219,8 @@
 class Entries(Struct, frozen=True, array_like=True, tag=7):
     """Entries of the shared map.
 
-    `is_last`: the complete map has been sent. The reader then sends back the entries that it has beyond it.
+    `is_last` marks the last message of the complete map. The peer then sends back its entries that are
+    newer or missing from it.
     """
 
     entries: tuple[MapEntry, ...]
@@ -226,7 +228,7 @@
 
 
 class LookupResponse(Struct, frozen=True, array_like=True, tag=8):
-    """The owner of a key by the newest roster known here, which may have changed. None: not known."""
+    """The owner of a key by the newest roster known to the sender, possibly outdated; None if unknown."""
 
     number: int
     region: str
@@ -234,7 +236,7 @@
 
 
 class GoAway(Struct, frozen=True, array_like=True, tag=9):
-    """The control machine stops, or has no quorum: attach to another within `within_seconds`."""
+    """The control machine is stopping or has no quorum: attach to another one within `within_seconds`."""
 
     within_seconds: float
 
@@ -252,18 +254,18 @@
 )
 
 
-# Between the control machines of one group.
+# Group messages: sent between the control machines of one group.
 
 
 class SessionOpened(Struct, frozen=True, array_like=True, tag=1):
-    """To the leader, until it acknowledges: a relay has a session at the sender."""
+    """Report to the leader that a relay has a session at the sender; repeated until it is acknowledged."""
 
     relay: Relay
     attempt: int
 
 
 class SessionEnded(Struct, frozen=True, array_like=True, tag=2):
-    """To the leader, until it acknowledges: that session has ended."""
+    """Report to the leader that a session has ended; repeated until it is acknowledged."""
 
     key: RelayKey
     attempt: int
@@ -271,30 +273,30 @@
 
 
 class Replicate(Struct, frozen=True, array_like=True, tag=3):
-    """From the leader: the next delta, and the settled version."""
+    """Send the next delta and the settled version to a follower."""
 
     delta: Delta
     settled: Version | None
 
 
 class ReplicateAck(Struct, frozen=True, array_like=True, tag=4):
-    """To the leader: the sender grants no lease under an older roster than this any more."""
+    """Confirm to the leader that the sender no longer grants leases under rosters older than `version`."""
 
     version: Version
 
 
 class TermStarted(Struct, frozen=True, array_like=True, tag=5):
-    """From a new leader: request a `TermState`. Repeated to members that have not responded."""
+    """Request a `TermState` for a new leader; repeated to members that have not responded."""
 
     epoch: int
     term: int
 
 
 class TermState(Struct, frozen=True, array_like=True, tag=6):
-    """To a new leader: the sender's newest roster, its settled version, and all its sessions.
+    """Report the sender's roster version, its settled version and all its sessions to a new leader.
 
-    `is_current`: that roster arrived while the sender was the member that it is now, so whatever has settled
-    since settled with its acknowledgement, and is in its roster.
+    `is_current` means that the roster arrived during the sender's present membership of the group. Whatever
+    has settled since then was acknowledged by the sender, so its roster includes it.
     """
 
     epoch: int
@@ -306,13 +308,13 @@
 
 
 class SnapshotRequest(Struct, frozen=True, array_like=True, tag=7):
-    """Request the complete roster, or the deltas since the known version."""
+    """Request the deltas since `known_version`, or the complete roster."""
 
     known_version: Version | None = None
 
 
 class GroupSnapshot(Struct, frozen=True, array_like=True, tag=8):
-    """The complete roster of this region."""
+    """The complete roster of the region."""
 
     version: Version
     settled: Version | None
@@ -320,13 +322,13 @@
 
 
 class Settled(Struct, frozen=True, array_like=True, tag=9):
-    """From the leader: no lease under an older roster than this can hold any more."""
+    """Announce that all leases granted under rosters older than `version` have expired."""
 
     version: Version
 
 
 class ReportAck(Struct, frozen=True, array_like=True, tag=10):
-    """From the leader: the report of a session's start (`is_open`) or end has arrived."""
+    """Acknowledge a report of a session's start (`is_open`) or end."""
 
     key: RelayKey
     attempt: int
@@ -334,7 +336,7 @@
 
 
 class NameConflict(Struct, frozen=True, array_like=True, tag=11):
-    """From the leader: this session is not admitted: another run of a relay of its name is alive."""
+    """Reject a reported session: another run of a relay with the same name is alive."""
 
     key: RelayKey
     attempt: int
