--- a/violetdoor/control/__init__.py
+++ b/violetdoor/control/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of a large fleet: relays hold sessions at the control group of their region."""
+"""Membership of a large fleet: each relay keeps a session with the control group of its region."""
--- a/violetdoor/control/errors.py
+++ b/violetdoor/control/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong with a peer of the control plane, as typed errors."""
+"""Errors that a peer of the control plane causes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ControlError(Exception):
-    """Base of all errors of the control plane."""
+    """Base class of all control plane errors."""
 
 
 class PeerProtocolError(ControlError, ValueError):
@@ -14,38 +14,38 @@
 
 
 class ChunkOrderError(PeerProtocolError):
-    """A chunk of a snapshot does not follow the one before; `chunk` is the one that arrived."""
+    """A snapshot chunk arrived out of order."""
 
     def __init__(self, chunk: SnapshotChunk, expected_number: int) -> None:
-        """Keep the chunk and the number that was to follow."""
-        super().__init__("a snapshot's chunk out of order")
+        """Store the chunk that arrived and the number of the chunk that was expected."""
+        super().__init__("snapshot chunk out of order")
         self.chunk = chunk
         self.expected_number = expected_number
 
 
 class SnapshotSizeError(PeerProtocolError):
-    """A snapshot has more members than a region can have."""
+    """A snapshot exceeds the maximum number of members of a region."""
 
     def __init__(self, member_count: int) -> None:
-        """Keep the number of members so far."""
-        super().__init__("a snapshot of more members than a region has")
+        """Store the number of members received so far."""
+        super().__init__("snapshot exceeds the maximum number of members")
         self.member_count = member_count
 
 
 class VersionRegressionError(PeerProtocolError):
-    """A roster arrived that is older than the one that is known."""
+    """A roster arrived that is older than the known one."""
 
     def __init__(self, known: Version, received: Version) -> None:
-        """Keep both versions."""
-        super().__init__("a roster that goes back")
+        """Store the known and the received version."""
+        super().__init__("received roster is older than the known roster")
         self.known = known
         self.received = received
 
 
 class UnexpectedMessageError(PeerProtocolError):
-    """A message arrived that has no place at this point of a session."""
+    """A message arrived that is not valid in the current state of a session."""
 
     def __init__(self, message: object) -> None:
-        """Keep the name of the message's type."""
-        super().__init__("no message for one that follows a region")
+        """Store the type name of the message."""
+        super().__init__("unexpected message on a session with another region")
         self.message_type = type(message).__name__
