--- a/violetdoor/control/actions.py
+++ b/violetdoor/control/actions.py
@@ -1,4 +1,4 @@
-"""What a control machine is configured with, the actions that it wants done, and its status for operators."""
+"""The configuration of a control machine, the actions that it requests of its driver, and its status."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineLimits:
-    """The load that one control machine accepts."""
+    """Limits on the load of one control machine."""
 
-    max_sessions: int = 2000  # open at once
-    attaches_per_second: float = 200.0  # sessions opened
-    attach_burst: float = 200.0  # sessions opened at once, after a quiet time
-    max_backlog_bytes: int = 1 << 20  # queued for one session; beyond it the session is closed
+    max_sessions: int = 2000  # open at the same time
+    attaches_per_second: float = 200.0  # sustained rate of new sessions
+    attach_burst: float = 200.0  # new sessions accepted at once after an idle period
+    max_backlog_bytes: int = 1 << 20  # bytes queued for one session; it is closed when it has more
 
 
 @dataclass(frozen=True, slots=True)
 class MachineConfig:
-    """What an operator configures of a control machine."""
+    """The settings of a control machine that an operator configures."""
 
     name: str
     region: str
-    regions: Mapping[str, tuple[Address, ...]]  # the session addresses of each region's control machines
+    regions: Mapping[str, tuple[Address, ...]]  # session addresses of each region's control machines
     limits: MachineLimits = field(default_factory=MachineLimits)
 
 
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseSession:
-    """Close a session once what was sent before is written; `session_closed` is not called for it."""
+    """Close a session after its queued messages are written; `session_closed` is not called for it."""
 
     session: int
     reason: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToMember:
-    """Send a message to another member of the group; it may be lost."""
+    """Send a message to another member of the group; delivery is not guaranteed."""
 
     member: str
     message: GroupMessage
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectRegion:
-    """Open a connection to another region's machine; `region_connected` or `region_lost` follows."""
+    """Open a connection to a machine of another region; `region_connected` or `region_lost` follows."""
 
     region: str
     address: Address
@@ -82,14 +82,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MergeEntries:
-    """Merge entries into the group's shared map; `entries_changed` follows for those that were newer."""
+    """Merge entries into the group's shared map; `entries_changed` is called with those that were newer."""
 
     entries: tuple[MapEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class EmitEvent:
-    """Write an event to the log. The values are by name, as each event has its own."""
+    """Write an event to the log; `values` holds its fields by name."""
 
     name: str
     values: dict[str, Any]
@@ -115,22 +115,22 @@
     is_connected: bool
     version: Version | None
     member_count: int
-    age_seconds: float  # since its last message; 0 while it is followed
+    age_seconds: float  # time since the last message from the region; 0 while connected
 
 
 @dataclass(frozen=True, slots=True)
 class MachineStatus:
-    """What operators see of a control machine."""
+    """The status of a control machine that operators see."""
 
     name: str
     region: str
     leader: str | None
     is_leader: bool
     may_act: bool
-    session_count: int  # of relays
-    watcher_count: int  # sessions of other regions' machines
+    session_count: int  # relay sessions
+    watcher_count: int  # sessions of control machines of other regions
     version: Version | None
     settled: Version | None
     member_count: int  # relays in this region's roster
     regions: tuple[RegionStatus, ...]
-    counters: Mapping[str, int]  # `refused_WHY`, `closed_WHY`, `leases`, `snapshots`, `deltas`, ...
+    counters: Mapping[str, int]  # `refused_REASON`, `closed_REASON`, `leases`, `snapshots`, ...
--- a/violetdoor/control/context.py
+++ b/violetdoor/control/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one control machine share."""
+"""The state that the parts of one control machine share."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @dataclass(slots=True)
 class MachineContext:
-    """The configuration and the surroundings of a control machine.
+    """The configuration, random source, shared map and action queue of a control machine.
 
-    `config` is replaced by the machine when it is reconfigured; nobody else writes here.
+    Only `ControlMachine` assigns a field: it replaces `config` when it is reconfigured.
     """
 
     config: MachineConfig
     random: Random
-    shared_map: SharedMap  # the map of the group's node: read here, changed through `MergeEntries` alone
-    emit: Callable[[Action], None]  # adds an action for the driver
+    shared_map: SharedMap  # map of the group's node: read-only here, changed by `MergeEntries` actions
+    emit: Callable[[Action], None]  # queues an action for the driver
