--- a/violetdoor/control/roster.py
+++ b/violetdoor/control/roster.py
@@ -1,7 +1,7 @@
 """The roster of one region: its relays at a version, the owners of keys, and snapshots in chunks.
 
-Nothing here decides which relays are alive: the leader of a control group does (`sequencer`). Everybody else
-applies what it wrote.
+The leader of a control group decides which relays are members (`sequencer`); this module only applies the
+deltas and snapshots that the leader wrote.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 )
 from violetdoor.fleet.view import rendezvous_weight
 
-# Members of one roster; a larger snapshot is rejected.
+# Maximum number of members of one roster; a larger snapshot is rejected.
 MAX_ROSTER_MEMBERS = 4096
-# Keys whose owner is cached until the roster changes.
+# Maximum number of cached key owners; the cache is cleared when the roster changes.
 MAX_CACHED_OWNERS = 1024
 
 
 def home_region(key: str, regions: Iterable[str]) -> str:
-    """Return the region that a key belongs to, by rendezvous hashing over the names of all regions."""
+    """Return the home region of a key, by rendezvous hashing over the names of all regions."""
     return max(regions, key=lambda name: (rendezvous_weight(key, name), name))
 
 
@@ -38,12 +38,12 @@
 
 
 class Roster:
-    """The members of a region at one version, changed in place by deltas alone."""
+    """The members of a region at one version; `apply` changes them in place."""
 
     __slots__ = ("_cached_owners", "_relays_by_zone", "members", "version")
 
     def __init__(self, version: Version, members: Iterable[Relay] = ()) -> None:
-        """Start from all members at `version`."""
+        """Create the roster of `members` at `version`."""
         self.version = version
         self.members: dict[str, Relay] = {relay.name: relay for relay in members}
         self._relays_by_zone = Counter(relay.zone for relay in self.members.values())
@@ -54,14 +54,14 @@
         return len(self.members)
 
     def contains(self, key: RelayKey) -> bool:
-        """Return whether exactly this run of a relay is a member."""
+        """Return whether this run of the relay is a member."""
         relay = self.members.get(key.name)
         return relay is not None and relay.instance == key.instance
 
     def apply(self, delta: Delta) -> bool:
-        """Advance to the delta's version.
+        """Apply a delta and advance to its version.
 
-        Returns False, and changes nothing, where the delta's base is another version than this one.
+        Returns False, and changes nothing, if the base of the delta is not the version of this roster.
         """
         if delta.base != self.version:
             return False
@@ -81,7 +81,7 @@
         return True
 
     def owner(self, key: str) -> str | None:
-        """Return the member that owns a key of this region by rendezvous hashing; None in an empty roster."""
+        """Return the owner of a key of this region by rendezvous hashing; None if the roster is empty."""
         if key not in self._cached_owners:
             if len(self._cached_owners) >= MAX_CACHED_OWNERS:
                 self._cached_owners.clear()
@@ -91,12 +91,12 @@
         return self._cached_owners[key]
 
     def zone_counts(self) -> tuple[ZoneCount, ...]:
-        """Return how many members each zone has, in the order of the zones' names."""
+        """Return the number of members of each zone, sorted by the name of the zone."""
         counts = sorted(self._relays_by_zone.items())
         return tuple(ZoneCount(zone, count) for zone, count in counts if count > 0)
 
     def snapshot_chunks(self) -> list[SnapshotChunk]:
-        """Return the complete roster in messages that fit into a frame each; one where it is empty."""
+        """Return the complete roster in messages that each fit into a frame; one message if it is empty."""
         members = tuple(self.members.values())
         starts = range(0, len(members), MAX_CHUNK_MEMBERS)
         parts = [members[start : start + MAX_CHUNK_MEMBERS] for start in starts] or [()]
@@ -104,19 +104,19 @@
 
 
 class SnapshotAssembler:
-    """Joins the chunks of a snapshot, which arrive in order on one connection."""
+    """Assembles a roster from the chunks of a snapshot, which arrive in order on one connection."""
 
     def __init__(self) -> None:
-        """Start without any chunk."""
+        """Start without chunks."""
         self._version: Version | None = None
         self._members: list[Relay] = []
         self._next_number = 0
 
     def add(self, chunk: SnapshotChunk) -> Roster | None:
-        """Return the roster with its last chunk, None before.
+        """Add a chunk; return the roster once the last chunk has been added, and None before.
 
-        Raises ChunkOrderError where the chunk does not follow the one before, and SnapshotSizeError where
-        the snapshot has more members than `MAX_ROSTER_MEMBERS`.
+        Raises ChunkOrderError if the chunk is not the next one, and SnapshotSizeError if the snapshot has
+        more members than `MAX_ROSTER_MEMBERS`.
         """
         if chunk.number == 0:
             self._version = chunk.version
