--- a/violetdoor/control/delta_log.py
+++ b/violetdoor/control/delta_log.py
@@ -1,4 +1,4 @@
-"""The last deltas of a roster, kept for sessions and members that are a few versions behind."""
+"""The newest deltas of a roster, kept for sessions and members that are a few versions behind."""
 
 from __future__ import annotations
 
@@ -14,41 +14,41 @@
     encode,
 )
 
-# Deltas kept for sessions that are behind: a restart of a zone, relay by relay, fits.
+# Maximum number of kept deltas: enough for a rolling restart of a zone with one delta per relay.
 MAX_LOGGED_DELTAS = 512
-# Encoded size of the kept deltas together: beyond it a snapshot of 600 members (40 KB) is shorter.
+# Maximum total encoded size of the kept deltas: with more, a snapshot of 600 members (40 KB) is shorter.
 MAX_LOGGED_DELTA_BYTES = 256 * 1024
 # Encoded size of a delta without its relays, rounded up.
 DELTA_OVERHEAD_BYTES = 64
-# Reserved in a frame for its seal and for what surrounds the deltas.
+# Space reserved in a frame for its seal and for the headers around the deltas.
 FRAME_OVERHEAD_BYTES = 1024
 
 
 class DeltaLog:
-    """Consecutive deltas up to the newest version, bounded by count and by encoded size."""
+    """Consecutive deltas up to the newest version, bounded by number and by encoded size."""
 
     def __init__(self, max_deltas: int = MAX_LOGGED_DELTAS, max_bytes: int = MAX_LOGGED_DELTA_BYTES) -> None:
-        """Start empty; the oldest deltas are dropped beyond either bound."""
+        """Start empty; the oldest deltas are dropped when a bound is exceeded."""
         self.max_deltas = max_deltas
         self.max_bytes = max_bytes
         self.size_bytes = 0
-        self._deltas: deque[tuple[Delta, int]] = deque()  # with the encoded size of each
-        self._index_by_base: dict[Version, int] = {}  # counted from the first delta ever added
+        self._deltas: deque[tuple[Delta, int]] = deque()  # each with its encoded size
+        self._index_by_base: dict[Version, int] = {}  # 0 is the first delta ever added
         self._dropped_count = 0
 
     def __len__(self) -> int:
-        """Return how many deltas are kept."""
+        """Return the number of kept deltas."""
         return len(self._deltas)
 
     def clear(self) -> None:
-        """Forget all deltas: the next one does not follow them."""
+        """Drop all deltas, because the next delta does not follow the last one."""
         self._dropped_count += len(self._deltas)
         self._deltas.clear()
         self._index_by_base.clear()
         self.size_bytes = 0
 
     def add(self, delta: Delta) -> None:
-        """Append a delta that follows the last one, and drop the oldest beyond the bounds."""
+        """Append a delta that follows the last one, and drop the oldest while a bound is exceeded."""
         size = len(encode(delta))
         self._index_by_base[delta.base] = self._dropped_count + len(self._deltas)
         self._deltas.append((delta, size))
@@ -60,7 +60,7 @@
             self._dropped_count += 1
 
     def since(self, version: Version) -> tuple[Delta, ...] | None:
-        """Return the deltas from `version` to the newest one; None where they are not kept any more."""
+        """Return the deltas from `version` to the newest one; None if they are no longer kept."""
         index = self._index_by_base.get(version)
         if index is None:
             return None
@@ -68,7 +68,7 @@
 
 
 def split_into_frames(deltas: Sequence[Delta]) -> list[tuple[Delta, ...]]:
-    """Return the deltas, in order, in groups that fit into a frame each."""
+    """Split deltas, in order, into groups that each fit into a frame."""
     groups: list[list[Delta]] = []
     remaining_bytes = 0
     for delta in deltas:
--- a/violetdoor/control/distribution.py
+++ b/violetdoor/control/distribution.py
@@ -1,4 +1,4 @@
-"""What each session is sent of the roster: deltas or a snapshot, and nothing while it is too far behind."""
+"""Distribution of the roster to sessions, as deltas or snapshots; it pauses for sessions that lag behind."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from violetdoor.control.replica import Replica
 from violetdoor.control.session import Session
 
-# Deltas that a session may leave unacknowledged: with more to send it gets one snapshot.
+# Maximum number of unacknowledged roster versions of a session, and of deltas sent in place of a snapshot.
 MAX_IN_FLIGHT_DELTAS = 64
-# Queued for a session above which no roster is added.
+# Bytes queued for a session above which it is sent no roster.
 ROSTER_BACKLOG_LIMIT_BYTES = 256 * 1024
 
-# Messages that bring a session up to date, by the version that it has: shared by the sessions of one round.
+# Messages that bring a session up to date, by its version; the sessions of one round share them.
 Updates = dict[Version | None, list[SessionResponse]]
 
 
 class RosterDistributor:
-    """Brings sessions up to the replica's version."""
+    """Sends sessions what they need to reach the version of the replica."""
 
     def __init__(
         self,
@@ -28,15 +28,15 @@
         counters: Counter[str],
         send: Callable[[Session, SessionResponse], None],
     ) -> None:
-        """Start with nothing distributed; snapshots and deltas are counted in `counters`."""
+        """Start before the first round; `counters` counts the snapshots and deltas sent."""
         self._replica = replica
         self._counters = counters
         self._send = send
-        # Version and count of resets of the roster that all sessions were offered last.
+        # The replica's version and reset count in the last round.
         self._distributed: tuple[Version | None, int] = (None, 0)
 
     def start_round(self) -> bool:
-        """Return whether the roster is another one than in the last round."""
+        """Return whether the roster differs from that of the last round, and start a new round if so."""
         current = (self._replica.version, self._replica.reset_count)
         if self._replica.roster is None or current == self._distributed:
             return False
@@ -44,9 +44,9 @@
         return True
 
     def update(self, session: Session, updates: Updates) -> bool:
-        """Send a session what it lacks, or pause it; `updates` keeps the messages for other sessions.
+        """Send a session the missing updates, or pause it; `updates` caches the messages for other sessions.
 
-        Returns False, and sends nothing, to a session that attached with a newer roster than this machine's.
+        Returns False, and sends nothing, if the session attached with a newer roster than this machine's.
         """
         version = self._replica.version
         if version is None or session.sent_version == version:
@@ -69,7 +69,7 @@
         return True
 
     def _messages_since(self, version: Version | None) -> list[SessionResponse]:
-        """Return what brings a roster of this version up to the newest one."""
+        """Return the messages that bring a roster of this version up to the newest version."""
         roster = self._replica.roster
         assert roster is not None
         deltas = None if version is None else self._replica.delta_log.since(version)
