--- a/violetdoor/control/leases.py
+++ b/violetdoor/control/leases.py
@@ -1,7 +1,8 @@
-"""Leases of relays: how long one holds, and whether this machine may grant one.
+"""Leases of relays: how long they last, and whether this machine may grant one.
 
-A lease is granted under a roster only once that roster was sent on the same connection; a session that is
-behind gets none. That is half of why a key has one owner at a time (docs/design/fleet-scale.md).
+A lease is granted under a roster only after that roster was sent on the same connection; a session with an
+older roster gets none. This is one of the two rules that give a key a single owner at any time
+(docs/design/fleet-scale.md).
 """
 
 from __future__ import annotations
@@ -13,28 +14,28 @@
 from violetdoor.control.session import Session
 from violetdoor.fleet.lease import MAX_CLOCK_DRIFT_FRACTION
 
-# Granted for a heartbeat: a session may break and the next two control machines be down within it.
+# Duration of a lease. It suffices to replace a broken session even if the next two control machines are down.
 LEASE_SECONDS = 6.0
-# For what a relay does on its last check of a lease, as in the group's own leases.
+# Time for operations that a relay starts just before its lease expires, as for the group's own leases.
 LEASE_MARGIN_SECONDS = 0.15
-# After which a lease has expired by any clock within the bound on drift.
+# Time after which a lease has expired on every clock within the bound on drift.
 LEASE_EXPIRY_SECONDS = LEASE_SECONDS * (1 + MAX_CLOCK_DRIFT_FRACTION) + LEASE_MARGIN_SECONDS
 
 
 class LeaseGranter:
-    """Decides on leases by this machine's own lease in its group and by its replica."""
+    """Decides whether a relay gets a lease, by this machine's own lease in its group and by its replica."""
 
     def __init__(self, replica: Replica) -> None:
-        """Start outside of any group, where nothing may be granted."""
+        """Start outside of any group, where no lease may be granted."""
         self.group: GroupState | None = None
         self._replica = replica
 
     def may_act(self, now: float) -> bool:
-        """Return whether this machine holds its own lease in the group at this moment."""
+        """Return whether this machine has a valid lease in its group."""
         return self.group is not None and now < self.group.lease_expires_at
 
     def may_grant(self, session: Session, now: float) -> bool:
-        """Return whether a relay gets a lease: only under the newest roster, which it was sent before."""
+        """Return whether a relay gets a lease: it is in the newest roster, and was sent that roster."""
         roster = self._replica.roster
         if roster is None or session.relay is None or session.sent_version != roster.version:
             return False
@@ -43,7 +44,7 @@
         return roster.contains(relay_key(session.relay))
 
     def settled_version(self, session: Session) -> Version | None:
-        """Return the settled version, where the session has that roster or a later one."""
+        """Return the settled version if the session was sent that roster or a later one, else None."""
         settled = self._replica.settled
         sent = session.sent_version
         if settled is None or sent is None or settled.epoch != sent.epoch:
