--- a/violetdoor/control/region_follower.py
+++ b/violetdoor/control/region_follower.py
@@ -1,4 +1,4 @@
-"""Following the roster of another region: a session at one of its control machines, reopened when it ends."""
+"""Follows the roster of another region by a session at one of its control machines, reopened when it ends."""
 
 from __future__ import annotations
 
@@ -38,43 +38,43 @@
 from violetdoor.control.replica import is_newer_in_epoch
 from violetdoor.control.roster import Roster, SnapshotAssembler
 
-# Between two heartbeats to a followed control machine.
+# Interval between heartbeats to the control machine of the other region.
 HEARTBEAT_INTERVAL_SECONDS = 1.0
-# Without a message after which another control machine is tried: regions are farther apart than machines.
+# Time without a message after which another machine is tried; regions are farther apart than machines.
 IDLE_TIMEOUT_SECONDS = 3.0
-# For opening a connection to another region, and again for the response to `Watch`.
+# Timeout for opening the connection, and again for the response to `Watch`.
 CONNECT_TIMEOUT_SECONDS = 1.0
-# Backoff between attempts: doubled from one to the next, each drawn from its upper half.
-MIN_RETRY_DELAY_SECONDS = 0.25
-MAX_RETRY_DELAY_SECONDS = 4.0
-# Attempts beyond this don't count: the backoff has reached its maximum long before.
+# Backoff between attempts; it doubles with each, and the delay is random between half and all of it.
+INITIAL_BACKOFF_SECONDS = 0.25
+MAX_BACKOFF_SECONDS = 4.0
+# Cap of the attempt counter; the backoff reaches its maximum after fewer attempts.
 MAX_COUNTED_ATTEMPTS = 16
-# For which a region is not followed before relays are notified that its count is stale.
+# Time without a session after which relays are notified that the counts of the region are stale.
 STALE_AFTER_SECONDS = 2.0
 
 
 class FollowerState(Enum):
-    """How far the session at another region is."""
+    """The state of the session at another region."""
 
-    WAITING = "waiting"
+    WAITING = "waiting"  # for the end of the backoff
     CONNECTING = "connecting"
-    REQUESTED = "requested"
+    REQUESTED = "requested"  # `Watch` was sent
     OPEN = "open"
 
 
 @dataclass(frozen=True, slots=True)
 class PublishedCount:
-    """What relays were sent last of a region: the count at a version, fresh or stale."""
+    """The version of the counts that relays were sent last, and whether they were sent as fresh or stale."""
 
     version: Version
     is_fresh: bool
 
 
 class RegionFollower:
-    """The session of this control machine at another region."""
+    """The session of this control machine at another region, and the roster of that region."""
 
     def __init__(self, context: MachineContext, region: str, now: float) -> None:
-        """Start to follow `region` a moment after `now`, which is drawn."""
+        """Start to follow `region` after a random delay."""
         self.region = region
         self.state = FollowerState.WAITING
         self.roster: Roster | None = None
@@ -84,24 +84,24 @@
         self._random = context.random
         self._published: PublishedCount | None = None
         self._assembler = SnapshotAssembler()
-        self._addresses: list[Address] = []  # to be tried next, last first
-        self._attempts = 0  # since the last session
-        self._deadline_at = now + self._random.random() * MIN_RETRY_DELAY_SECONDS  # of any state but OPEN
+        self._addresses: list[Address] = []  # still to be tried, from the last one to the first
+        self._attempts = 0  # since the last open session
+        self._deadline_at = now + self._random.random() * INITIAL_BACKOFF_SECONDS  # unused while OPEN
         self._heartbeat_at = math.inf
         self._heartbeat_number = 0
         self._is_resyncing = False
 
     @property
     def version(self) -> Version | None:
-        """The version of the roster that is known; None without one."""
+        """The version of the known roster; None without a roster."""
         return None if self.roster is None else self.roster.version
 
     def age_seconds(self, now: float) -> float:
-        """Return the age of what is known: 0 while the region is followed."""
+        """Return the age of the known roster: 0 while the session is open."""
         return 0.0 if self.state is FollowerState.OPEN else now - self.last_received_at
 
     def has_changes(self, now: float) -> bool:
-        """Return whether relays are to be sent this region's count."""
+        """Return whether this region's counts must be sent to relays."""
         if self.version is None:
             return False
         published = self._published
@@ -112,14 +112,14 @@
         return published.is_fresh and now >= self.last_received_at + STALE_AFTER_SECONDS
 
     def count(self, now: float) -> RegionCount | None:
-        """Return what relays are sent; None before a roster is known."""
+        """Return the counts to send to relays; None before a roster is known."""
         if self.roster is None:
             return None
         age_seconds = round(self.age_seconds(now), 1)
         return RegionCount(self.region, self.roster.version, self.roster.zone_counts(), age_seconds)
 
     def mark_published(self) -> None:
-        """Note that relays are sent what is known now."""
+        """Record that the present counts are sent to relays."""
         if self.version is None:
             self._published = None
         else:
@@ -127,8 +127,8 @@
 
     # The connection.
 
-    def connected(self, now: float) -> None:
-        """Handle the connection that was requested."""
+    def connection_opened(self, now: float) -> None:
+        """Request a session on the connection, which is now open."""
         if self.state is not FollowerState.CONNECTING:
             return
         self.state = FollowerState.REQUESTED
@@ -144,15 +144,15 @@
         )
         self._emit(SendToRegion(self.region, watch))
 
-    def lost(self, now: float) -> None:
+    def connection_lost(self, now: float) -> None:
         """Handle a connection that ended, or could not be opened."""
         if self.state is not FollowerState.WAITING:
             self._retry_later(now)
 
-    def received(self, message: SessionResponse, now: float) -> None:
-        """Handle a message; one out of place ends the session."""
+    def message_received(self, message: SessionResponse, now: float) -> None:
+        """Handle a message; an unexpected one ends the session."""
         if self.state is FollowerState.REQUESTED and isinstance(message, Welcome):
-            self._opened(now)
+            self._session_opened(now)
             return
         if isinstance(message, Rejected):
             self._close("refused", now)
@@ -161,14 +161,14 @@
             self._close("sent away", now)
             return
         if self.state is not FollowerState.OPEN:
-            return  # the rest of a session that was given up
+            return  # a late message of a session that was closed
         self.last_received_at = now
         try:
             self._handle(message)
         except PeerProtocolError:
             self._close("spoilt", now)
 
-    def _opened(self, now: float) -> None:
+    def _session_opened(self, now: float) -> None:
         self.state = FollowerState.OPEN
         self.last_received_at = now
         self._attempts = 0
@@ -211,31 +211,31 @@
         self._retry_later(now)
 
     def _retry_later(self, now: float) -> None:
-        """Plan the next attempt, at another control machine, with a growing backoff."""
+        """Schedule the next attempt, at the next address, with exponential backoff."""
         if self.state is FollowerState.OPEN:
             self._emit(EmitEvent(events.CONTROL_REGION_LOST, {"region": self.region}))
         self.state = FollowerState.WAITING
         self._heartbeat_at = math.inf
-        longest = min(MAX_RETRY_DELAY_SECONDS, MIN_RETRY_DELAY_SECONDS * 2**self._attempts)
+        backoff = min(MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2**self._attempts)
         self._attempts = min(self._attempts + 1, MAX_COUNTED_ATTEMPTS)
-        self._deadline_at = now + longest * (0.5 + self._random.random() / 2)
+        self._deadline_at = now + backoff * (0.5 + self._random.random() / 2)
 
     # Time.
 
     @property
     def next_wake_at(self) -> float:
-        """When `wake` is to be called next."""
+        """The time at which to call `wake`."""
         if self.state is FollowerState.OPEN:
             return min(self._heartbeat_at, self.last_received_at + IDLE_TIMEOUT_SECONDS)
         return self._deadline_at
 
     def resumed(self, now: float) -> None:
-        """Note that this machine was stopped: what the peer sent meanwhile still waits at its sockets."""
+        """After a process pause, restart the idle timeout: messages of the peer still wait in the socket."""
         if self.state is FollowerState.OPEN:
             self.last_received_at = now
 
     def wake(self, now: float) -> None:
-        """Do what is due."""
+        """Perform the work that is due."""
         if now < self.next_wake_at:
             return
         match self.state:
@@ -259,7 +259,7 @@
         self._emit(ConnectRegion(self.region, self._addresses.pop()))
 
     def status(self, now: float) -> RegionStatus:
-        """Return what operators see."""
+        """Return the status that operators see."""
         return RegionStatus(
             region=self.region,
             is_connected=self.state is FollowerState.OPEN,
