--- a/violetdoor/control/group_member.py
+++ b/violetdoor/control/group_member.py
@@ -1,4 +1,4 @@
-"""A control machine as a member of its region's group: following the leader, and leading in its own terms."""
+"""A control machine as a member of its region's group: follows the leader, and leads in its own terms."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 from violetdoor.control.sequencer import Sequencer
 from violetdoor.control.sessions import Sessions
 
-# Relays that an event names; its counts are of all.
+# Maximum number of relays that an event names; its counts include all relays.
 MAX_NAMES_PER_EVENT = 10
 
 
 class GroupMember:
-    """Handles the group's messages and the changes of its view."""
+    """Handles messages between the members of the group, and changes of its view."""
 
     def __init__(
         self, context: MachineContext, replica: Replica, reports: SessionReports, sessions: Sessions
     ) -> None:
         """Start outside of any view."""
         self.state: GroupState | None = None
-        self.sequencer: Sequencer | None = None  # in the terms in which this machine is the leader
+        self.sequencer: Sequencer | None = None  # None while another machine is the leader
         self._context = context
         self._emit = context.emit
         self._replica = replica
@@ -49,7 +49,7 @@
         self._sessions = sessions
 
     def state_changed(self, state: GroupState | None, now: float) -> None:
-        """Handle another state of the group; None where this machine is in no view."""
+        """Handle a change of the group's state; None if this machine is in no view."""
         before = self.state
         self.state = state
         if state is None:
@@ -85,7 +85,7 @@
     # Messages.
 
     def message_received(self, member: str, message: GroupMessage, now: float) -> None:
-        """Handle a message of a member of the view, this machine perhaps; others' are ignored."""
+        """Handle a message from a member of the view, possibly this machine; ignore other senders."""
         if self.state is not None and member in self.state.members:
             self._handle(member, message, self.state, now)
 
@@ -97,13 +97,13 @@
                 self._replica.advance_settled(message.version)
             case TermStarted() | ReportAck() | NameConflict():
                 if member == state.leader:
-                    self._handle_of_leader(member, message, state)
+                    self._handle_from_leader(member, message, state)
             case SnapshotRequest() if member == state.leader:
-                self._send_missing(member, message.known_version)
+                self._send_roster_since(member, message.known_version)
             case _:
                 self._handle_as_leader(member, message, now)
 
-    def _handle_of_leader(
+    def _handle_from_leader(
         self, leader: str, message: TermStarted | ReportAck | NameConflict, state: GroupState
     ) -> None:
         match message:
@@ -116,7 +116,7 @@
                 self._sessions.name_conflict(message.key, message.attempt)
 
     def _handle_as_leader(self, member: str, message: GroupMessage, now: float) -> None:
-        """Handle a message for the leader; another machine ignores it, and it is sent again."""
+        """Handle a message for the leader. Other machines ignore it; its sender repeats it."""
         sequencer = self.sequencer
         if sequencer is None:
             return
@@ -135,7 +135,7 @@
     def _handle_roster(
         self, member: str, message: Replicate | GroupSnapshot, state: GroupState, now: float
     ) -> None:
-        """Handle what the leader wrote; or, as a new leader, the newest roster of the terms before."""
+        """Handle a roster update from the leader or, as a new leader, the newest roster of earlier terms."""
         if self.sequencer is not None:
             self.sequencer.missing_roster_received(member, message, now)
             return
@@ -144,20 +144,20 @@
         if isinstance(message, GroupSnapshot):
             is_accepted = self._replica.install_snapshot(message, state)
         else:
-            is_accepted = self._apply_of_leader(member, message.delta, state)
+            is_accepted = self._apply_from_leader(member, message.delta, state)
         self._replica.advance_settled(message.settled)
         if is_accepted and self._replica.version is not None:
             self._emit(SendToMember(member, ReplicateAck(self._replica.version)))
 
-    def _apply_of_leader(self, leader: str, delta: Delta, state: GroupState) -> bool:
-        """Apply a delta; return whether this machine now has it, and request what is missing otherwise."""
+    def _apply_from_leader(self, leader: str, delta: Delta, state: GroupState) -> bool:
+        """Apply a delta, or request the missing roster; return whether this machine now has the delta."""
         outcome = self._replica.apply(delta, state)
         if outcome is ApplyOutcome.GAP:
             self._emit(SendToMember(leader, SnapshotRequest(self._replica.version)))
         return outcome in (ApplyOutcome.APPLIED, ApplyOutcome.ALREADY_APPLIED)
 
-    def _send_missing(self, leader: str, known_version: Version | None) -> None:
-        """Send a new leader what it lacks of this machine's roster."""
+    def _send_roster_since(self, leader: str, known_version: Version | None) -> None:
+        """Send a new leader the deltas since its version, or the complete roster."""
         replica = self._replica
         roster = replica.roster
         if roster is None:
@@ -173,10 +173,10 @@
     # Sending.
 
     def advance(self, now: float) -> None:
-        """Report to the leader what is due, and do what is due as the leader."""
+        """Send due session reports to the leader, and do the work that is due as the leader."""
         state = self.state
-        if state is not None and state.leader is not None:  # else nobody would be there to acknowledge
-            for report in self._reports.take_due(now):
+        if state is not None and state.leader is not None:  # without a leader nothing would be acknowledged
+            for report in self._reports.take_due_reports(now):
                 self._send(state.leader, report, now)
         sequencer = self.sequencer
         if sequencer is None:
@@ -197,7 +197,7 @@
             self._send(queued.member, queued.message, now)
 
     def _send(self, member: str, message: GroupMessage, now: float) -> None:
-        """Send a message to a member of the group; one to this machine is handled at once."""
+        """Send a message to a member of the group; handle it directly if that is this machine."""
         if member != self._context.config.name:
             self._emit(SendToMember(member, message))
         elif self.state is not None:
@@ -220,7 +220,7 @@
 
     @property
     def next_wake_at(self) -> float:
-        """When `advance` is to be called next."""
+        """The time at which to call `advance`."""
         next_wake_at = math.inf
         if self.state is not None and self.state.leader is not None:
             next_wake_at = self._reports.next_send_at
@@ -229,6 +229,6 @@
         return next_wake_at
 
     def resumed(self, now: float) -> None:
-        """Note that this machine was stopped for a while."""
+        """Handle the end of a process pause."""
         if self.sequencer is not None:
             self.sequencer.resumed(now)
--- a/violetdoor/control/reports.py
+++ b/violetdoor/control/reports.py
@@ -1,4 +1,4 @@
-"""Reports of sessions' starts and ends to the group's leader, repeated until it acknowledges them."""
+"""Reports of session starts and ends to the group's leader, repeated until it acknowledges them."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 from violetdoor.control.messages import RelayKey, ReportAck, SessionEnded, SessionOpened
 from violetdoor.control.roster import relay_key
 
-# Between two repetitions: messages in a group are lost only with their connection.
+# Interval between repetitions. Messages within a group are lost only if their connection breaks.
 RESEND_DELAY_SECONDS = 0.5
 
 
 class SessionReports:
-    """The newest report on each relay that the leader has not acknowledged."""
+    """The newest unacknowledged report on each relay."""
 
     def __init__(self) -> None:
         """Start with nothing to report."""
-        self.pending: dict[str, SessionOpened | SessionEnded] = {}  # by the relay's name
-        self.unsent_names: dict[str, None] = {}  # of reports that were never sent, in order
+        self.pending: dict[str, SessionOpened | SessionEnded] = {}  # by name of the relay
+        self.unsent_names: dict[str, None] = {}  # relays whose report was never sent, in order
         self._resend_at = math.inf
 
     def add(self, report: SessionOpened | SessionEnded, now: float) -> None:
-        """Add a report; it replaces an unacknowledged one on the same relay."""
+        """Add a report; it replaces an unacknowledged report on the same relay."""
         name = _reported_key(report).name
         self.pending[name] = report
         self.unsent_names[name] = None
         self._resend_at = min(self._resend_at, now + RESEND_DELAY_SECONDS)
 
     def acknowledge(self, ack: ReportAck) -> None:
-        """Forget the report that the leader has acknowledged; one on something newer stays."""
+        """Remove the report that the leader has acknowledged; a newer report on the same relay stays."""
         report = self.pending.get(ack.key.name)
         if report is None or report.attempt != ack.attempt:
             return
@@ -36,26 +36,26 @@
             self._remove(ack.key.name)
 
     def discard(self, key: RelayKey) -> None:
-        """Forget the report on a session that the leader did not admit."""
+        """Remove the report on a session that the leader rejected."""
         report = self.pending.get(key.name)
         if report is not None and _reported_key(report) == key:
             self._remove(key.name)
 
     def resend_all(self, now: float) -> None:
-        """Send all reports again at once: there is a new leader."""
+        """Make all reports due, because there is a new leader."""
         self._resend_at = now if self.pending else math.inf
 
     @property
     def next_send_at(self) -> float:
-        """When `take_due` has something to send: at once with an unsent report."""
+        """The time at which `take_due_reports` returns reports; minus infinity if one was never sent."""
         return -math.inf if self.unsent_names else self._resend_at
 
-    def take_due(self, now: float) -> list[SessionOpened | SessionEnded]:
-        """Return the reports to send now: the unsent ones and, from time to time, all."""
-        resends = now >= self._resend_at
-        names = list(self.pending) if resends else list(self.unsent_names)
+    def take_due_reports(self, now: float) -> list[SessionOpened | SessionEnded]:
+        """Return the reports to send now: the unsent ones or, once per resend interval, all of them."""
+        is_resend_due = now >= self._resend_at
+        names = list(self.pending) if is_resend_due else list(self.unsent_names)
         self.unsent_names = {}
-        if resends:
+        if is_resend_due:
             self._resend_at = now + RESEND_DELAY_SECONDS if self.pending else math.inf
         return [self.pending[name] for name in names]
 
