--- a/violetdoor/control/replica.py
+++ b/violetdoor/control/replica.py
@@ -1,4 +1,4 @@
-"""One control machine's copy of its region's roster, and whether leases may be granted under it."""
+"""A control machine's copy of its region's roster, and whether leases may be granted under it."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class ApplyOutcome(Enum):
-    """What became of a delta."""
+    """The result of applying a delta."""
 
     APPLIED = "applied"
-    ALREADY_APPLIED = "already applied"  # the replica is at this version, or beyond it
-    GAP = "gap"  # it does not follow what is here
-    OTHER_TERM = "other term"  # it was written in another term than the present one
+    ALREADY_APPLIED = "already applied"  # the replica is at this version or a newer one
+    GAP = "gap"  # the delta does not follow the replica's roster
+    OTHER_TERM = "other term"  # the delta was not written in the current term
 
 
 def is_newer_in_epoch(version: Version, other: Version) -> bool:
-    """Return whether `version` is newer than `other`; versions of different epochs have no order."""
+    """Return whether `version` is newer than `other`; False if their epochs differ."""
     return version.epoch == other.epoch and version > other
 
 
@@ -33,9 +33,9 @@
         self.roster: Roster | None = None
         self.delta_log = DeltaLog()
         self.settled: Version | None = None
-        self.reset_count = 0  # rosters that did not follow the one before
-        # Epoch and incarnation of this machine in the group when the roster arrived.
-        self._received_as: tuple[int, int] | None = None
+        self.reset_count = 0  # how often a roster replaced one that it did not follow
+        # Epoch of the group and incarnation of this machine when the roster arrived.
+        self._received_in_membership: tuple[int, int] | None = None
 
     @property
     def version(self) -> Version | None:
@@ -43,20 +43,20 @@
         return None if self.roster is None else self.roster.version
 
     def is_current(self, group: GroupState) -> bool:
-        """Return whether the roster arrived while this machine was the member that it is now.
+        """Return whether the roster arrived in this machine's present membership of the group.
 
-        Since then nothing can have settled without this machine's acknowledgement, so leases may be granted
-        under it.
+        Since then no version can have settled without this machine's acknowledgement, so leases may be
+        granted under this roster.
         """
-        return self._received_as == (group.epoch, group.incarnation)
+        return self._received_in_membership == (group.epoch, group.incarnation)
 
     def is_behind(self, version: Version | None) -> bool:
-        """Return whether a peer's roster at `version` is newer than the one here."""
+        """Return whether the replica is older than `version`, the version of a peer's roster."""
         return version is not None and self.version is not None and is_newer_in_epoch(version, self.version)
 
     def apply(self, delta: Delta, group: GroupState) -> ApplyOutcome:
-        """Apply a delta that the leader of the present term has written."""
-        if not self._is_of_term(delta.version, group):
+        """Apply a delta from the leader of the current term."""
+        if not self._is_from_term(delta.version, group):
             return ApplyOutcome.OTHER_TERM
         if self.version is not None and not is_newer_in_epoch(delta.version, self.version):
             if delta.version.epoch == self.version.epoch:
@@ -64,35 +64,35 @@
             return ApplyOutcome.GAP
         if not self.apply_from_earlier_term(delta):
             return ApplyOutcome.GAP
-        self._received_as = (group.epoch, group.incarnation)
+        self._received_in_membership = (group.epoch, group.incarnation)
         return ApplyOutcome.APPLIED
 
     def apply_from_earlier_term(self, delta: Delta) -> bool:
-        """Apply a delta with which the leader of a new term catches up; False where it does not follow."""
+        """Apply a delta that a new leader requested to catch up; return False if it does not follow."""
         if self.roster is None or not self.roster.apply(delta):
             return False
         self.delta_log.add(delta)
         return True
 
     def install_snapshot(self, snapshot: GroupSnapshot, group: GroupState) -> bool:
-        """Take over a complete roster of the present term; False where it is older than the one here."""
-        if not self._is_of_term(snapshot.version, group):
+        """Install a complete roster of the current term; return False if the replica is newer."""
+        if not self._is_from_term(snapshot.version, group):
             return False
         if self.version is not None and is_newer_in_epoch(self.version, snapshot.version):
             return False
         if snapshot.version != self.version:
             self.reset(snapshot.version, snapshot.members)
-        self._received_as = (group.epoch, group.incarnation)
+        self._received_in_membership = (group.epoch, group.incarnation)
         return True
 
     def reset(self, version: Version, members: Iterable[Relay]) -> None:
-        """Start again with a roster that does not follow the one here."""
+        """Replace the roster by one that does not follow it, and clear the delta log."""
         self.roster = Roster(version, members)
         self.delta_log.clear()
         self.reset_count += 1
 
     def advance_settled(self, version: Version | None) -> bool:
-        """Note that no lease under a roster older than `version` can hold; return whether that is new."""
+        """Advance the settled version to `version` unless it is as new; return whether it advanced."""
         if version is None or self.version is None:
             return False
         if version.epoch != self.version.epoch or version > self.version:
@@ -104,5 +104,5 @@
         return True
 
     @staticmethod
-    def _is_of_term(version: Version, group: GroupState) -> bool:
+    def _is_from_term(version: Version, group: GroupState) -> bool:
         return version.epoch == group.epoch and version.term == group.term
