--- a/violetdoor/control/replication.py
+++ b/violetdoor/control/replication.py
@@ -9,26 +9,26 @@
 from violetdoor.control.messages import Delta, GroupMessage, GroupSnapshot, Replicate, Version
 from violetdoor.control.replica import Replica
 
-# After which a member that has not acknowledged is sent again what it lacks.
+# Time after which missing updates are sent again to a member that has not acknowledged them.
 RESEND_DELAY_SECONDS = 0.5
 
 
 @dataclass(slots=True)
 class FollowerProgress:
-    """How far another member of the view has followed."""
+    """The replication progress of another member of the view."""
 
-    known_version: Version | None = None  # the newest roster that it has
-    acknowledged_version: Version | None = None  # of this term: it grants under this or later only
-    resend_at: float = math.inf
+    known_version: Version | None = None  # the newest roster version that the member has
+    acknowledged_version: Version | None = None  # of this term; it grants no leases under older rosters
+    resend_at: float = math.inf  # infinite if nothing is unacknowledged
 
 
 class Replication:
-    """The progress of all followers of one term."""
+    """Replicates the roster to all followers in one term, and tracks their progress."""
 
     def __init__(
         self, followers: Iterable[str], replica: Replica, send: Callable[[str, GroupMessage], None]
     ) -> None:
-        """Start with followers of which nothing is known; `send` sends to one of them."""
+        """Start without knowledge of the followers' versions; `send` sends a message to one of them."""
         self.progress = {member: FollowerProgress() for member in followers}
         self._replica = replica
         self._send = send
@@ -40,12 +40,12 @@
             progress.resend_at = min(progress.resend_at, now + RESEND_DELAY_SECONDS)
 
     def broadcast(self, message: GroupMessage) -> None:
-        """Send a message to all followers, without repetition."""
+        """Send a message to all followers once; it is not repeated if it gets lost."""
         for member in self.progress:
             self._send(member, message)
 
     def acknowledged(self, member: str, version: Version) -> bool:
-        """Record that a follower grants under `version` or later only; False for one that is none."""
+        """Record that a follower has acknowledged `version`; return False if the member is no follower."""
         progress = self.progress.get(member)
         if progress is None:
             return False
@@ -57,7 +57,7 @@
         return True
 
     def acknowledged_by_all(self) -> Version | None:
-        """Return the newest version that the leader and all followers have; None before there is one."""
+        """Return the newest version that the leader and all followers have; None if there is none."""
         version = self._replica.version
         for progress in self.progress.values():
             if version is None or progress.acknowledged_version is None:
@@ -66,7 +66,7 @@
         return version
 
     def resend(self, now: float) -> None:
-        """Send again to the followers that have not acknowledged in time."""
+        """Send missing updates again to the followers that have not acknowledged them in time."""
         for member, progress in self.progress.items():
             if now < progress.resend_at:
                 continue
@@ -89,5 +89,5 @@
 
     @property
     def next_resend_at(self) -> float:
-        """When `resend` has something to send; infinite without."""
+        """The time at which `resend` has something to send; infinite if nothing is unacknowledged."""
         return min((progress.resend_at for progress in self.progress.values()), default=math.inf)
