--- a/violetdoor/control/pending_changes.py
+++ b/violetdoor/control/pending_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the roster that the leader has not written yet."""
+"""Roster changes that the leader has not written yet."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from violetdoor.control.messages import Relay, RelayKey
 from violetdoor.control.roster import Roster, relay_key
 
-# Relays that one delta adds, and as many that it removes, so that it fits into a frame.
+# Maximum number of relays that one delta adds, and that it removes, so that it fits into a frame.
 MAX_DELTA_RELAYS = 150
 
 
@@ -27,35 +27,35 @@
 
     joined: dict[str, Relay] = field(default_factory=dict)  # by name
     departed: dict[RelayKey, None] = field(default_factory=dict)
-    since: float = math.inf  # when the first of them was recorded
+    oldest_recorded_at: float = math.inf
 
     def __bool__(self) -> bool:
-        """Return whether anything is pending."""
+        """Return whether any change is pending."""
         return bool(self.joined or self.departed)
 
     def record_joined(self, relay: Relay, roster: Roster | None, now: float) -> None:
         """Record that a relay joins, unless it is in the roster already."""
         if roster is None or not roster.contains(relay_key(relay)):
             self.joined[relay.name] = relay
-        self._start_waiting(now)
+        self._start_batch_delay(now)
 
     def record_departed(self, key: RelayKey, roster: Roster | None, now: float) -> None:
-        """Record that a relay departs; where it has not been written as joined, it never is."""
+        """Record that a relay departs; if its joining is still pending, it is never written."""
         joining = self.joined.get(key.name)
         if joining is not None and joining.instance == key.instance:
             del self.joined[key.name]
         if roster is not None and roster.contains(key):
             self.departed[key] = None
-        self._start_waiting(now)
+        self._start_batch_delay(now)
 
-    def _start_waiting(self, now: float) -> None:
-        if self and self.since == math.inf:
-            self.since = now
+    def _start_batch_delay(self, now: float) -> None:
+        if self and self.oldest_recorded_at == math.inf:
+            self.oldest_recorded_at = now
 
     def take_batch(self) -> ChangeBatch:
         """Remove and return the changes of one delta, as many as fit into a frame."""
         joined = tuple(self.joined.values())[:MAX_DELTA_RELAYS]
-        # A restarted relay departs and joins in one delta, so that no roster has it twice or not at all.
+        # A restarted relay departs and joins in the same delta, so that every roster has it exactly once.
         joined_names = {relay.name for relay in joined}
         restarted = [key for key in self.departed if key.name in joined_names]
         others = [key for key in self.departed if key.name not in self.joined]
@@ -65,16 +65,16 @@
         for key in departed:
             del self.departed[key]
         if not self:
-            self.since = math.inf
+            self.oldest_recorded_at = math.inf
         return ChangeBatch(joined, departed)
 
-    def take_members(self, members: Iterable[Relay]) -> tuple[Relay, ...]:
-        """Remove all changes, and return `members` with them applied."""
+    def apply_all(self, members: Iterable[Relay]) -> tuple[Relay, ...]:
+        """Apply all changes to `members` and remove them; return the resulting members."""
         changed = {relay.name: relay for relay in members}
         for key in self.departed:
             changed.pop(key.name, None)
         changed |= self.joined
         self.joined.clear()
         self.departed.clear()
-        self.since = math.inf
+        self.oldest_recorded_at = math.inf
         return tuple(changed.values())
--- a/violetdoor/control/sequencer.py
+++ b/violetdoor/control/sequencer.py
@@ -1,9 +1,9 @@
-"""The leader's work: the order in which relays join and depart, and which rosters have settled.
+"""The work of the leader: it orders the joins and departures of relays, and determines the settled version.
 
-A `Sequencer` lives for one term, that is for one view of the control group in which this machine is the
-leader. It requests what the members of the view know and continues the newest roster among them (`takeover`),
-collects who joins and departs (`session_locations`), writes deltas and sends them to the members
-(`replication`), and finds out which rosters have settled (`settlement`).
+A `Sequencer` exists for one term, which is one view of the control group with this machine as the leader. It
+requests the state of all members and continues the newest roster among them (`takeover`), collects joins and
+departures of relays (`session_locations`), writes deltas and sends them to the members (`replication`), and
+determines which rosters have settled (`settlement`).
 """
 
 from __future__ import annotations
@@ -32,44 +32,44 @@
 from violetdoor.control.settlement import Settlement
 from violetdoor.control.takeover import TAKEOVER_RETRY_SECONDS, Takeover, TakeoverStep
 
-# For which a change waits for others: a rack's relays depart in one delta.
+# Delay that batches changes, so that the relays of a failed rack depart in one delta.
 BATCH_DELAY_SECONDS = 0.05
-# Between two repetitions of the settled version: one may be lost.
+# Interval at which the settled version is sent again, as a message may be lost.
 SETTLED_INTERVAL_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class MemberMessage:
-    """A message for a member of the group, perhaps this machine itself."""
+    """A message for a member of the group, possibly this machine."""
 
     member: str
     message: GroupMessage
 
 
 class Sequencer:
-    """The leader of one term; it writes the replica directly."""
+    """The leader of one term, which writes directly to its replica."""
 
     def __init__(self, name: str, group: GroupState, replica: Replica, now: float) -> None:
-        """Start the term of machine `name` in the view that `group` describes."""
+        """Start the term in which machine `name` leads the view that `group` describes."""
         self.group = group
         self.replica = replica
-        self.outbox: list[MemberMessage] = []  # emptied by the machine
-        self.written_deltas: list[Delta] = []  # with changes, for events; emptied by the machine
-        self.is_started = False  # the first roster of this term is written
+        self.outbox: list[MemberMessage] = []  # emptied by `GroupMember`
+        self.written_deltas: list[Delta] = []  # deltas with changes, for events; emptied by `GroupMember`
+        self.is_started = False  # whether the first roster of this term was written
         self.locations = SessionLocations(replica)
         self.settlement = Settlement(now if group.prior_leases_expired else math.inf)
         followers = [member for member in group.members if member != name]
         self._replication = Replication(followers, replica, self._send)
         self._takeover = Takeover(group, followers, replica, self._send, now)
         self._send_settled_at = now + SETTLED_INTERVAL_SECONDS
-        self._idle_until = now  # without a lease nothing of what is due can be done
+        self._idle_until = now  # suspends `wake` while this machine has no lease
 
     def may_write(self, now: float) -> bool:
-        """Return whether this machine is the leader at this moment."""
+        """Return whether this machine is the leader and has a valid lease."""
         return self.group.is_leader and now < self.group.lease_expires_at
 
     def group_changed(self, group: GroupState, now: float) -> None:
-        """Handle another state of the group in the same view."""
+        """Handle a change of the group's state within the same view."""
         self.group = group
         self._idle_until = now
         if group.prior_leases_expired:
@@ -78,7 +78,7 @@
     # Taking over.
 
     def state_received(self, member: str, state: TermState, now: float) -> None:
-        """Handle what a member had at the start of the term."""
+        """Handle the state of a member at the start of the term."""
         if self.is_started or not self._takeover.state_received(member, state, now):
             return
         progress = self._replication.progress.get(member)
@@ -91,7 +91,7 @@
             self.wake(now)
 
     def _take_over(self, now: float) -> None:
-        """Advance towards the first roster of this term."""
+        """Take the next step towards the first roster of this term."""
         match self._takeover.advance(now, may_write=self.may_write(now)):
             case TakeoverStep.CONTINUE_ROSTER:
                 self._adopt_sessions(now)
@@ -106,17 +106,17 @@
                 pass
 
     def _adopt_sessions(self, now: float) -> None:
-        """Locate the relays' sessions by what all members had."""
+        """Initialize the locations of sessions from the states of all members."""
         self.locations.orphan_all(now)
         for member, state in self._takeover.states.items():
             for session in state.sessions:
                 self.locations.session_opened(member, session, now)
 
     def _start_fresh(self, now: float) -> None:
-        """Write the first roster of a history that continues none."""
+        """Write the first roster of a new history, which continues no earlier roster."""
         self.locations.remove_expired(now)
         roster = self.replica.roster
-        members = self.locations.pending.take_members(() if roster is None else roster.members.values())
+        members = self.locations.pending.apply_all(() if roster is None else roster.members.values())
         self.is_started = True
         snapshot = GroupSnapshot(self._version(0), None, members)
         self.replica.reset(snapshot.version, snapshot.members)
@@ -128,7 +128,7 @@
     # Reports of sessions.
 
     def session_opened(self, member: str, session: SessionOpened, now: float) -> None:
-        """Handle a member's report that a relay has a session there."""
+        """Handle a member's report that it has a session of a relay."""
         if not self._accepts_reports() or member not in self.group.members:
             return
         key = relay_key(session.relay)
@@ -138,7 +138,7 @@
             self._send(member, NameConflict(key, session.attempt))
 
     def session_ended(self, member: str, session: SessionEnded, now: float) -> None:
-        """Handle a member's report that a relay's session there has ended."""
+        """Handle a member's report that its session of a relay has ended."""
         if not self._accepts_reports() or member not in self.group.members:
             return
         self._send(member, ReportAck(session.key, session.attempt, is_open=False))
@@ -156,7 +156,7 @@
             self._write(version, now)
 
     def _write(self, version: Version, now: float) -> None:
-        """Write a delta with the pending changes, as many as fit."""
+        """Write a delta with as many pending changes as fit into one."""
         base = self.replica.version
         assert base is not None
         batch = self.locations.pending.take_batch()
@@ -171,17 +171,17 @@
     def _version(self, index: int) -> Version:
         return Version(self.group.epoch, self.group.term, index)
 
-    # Following members.
+    # Replication and settling.
 
     def acknowledged(self, member: str, version: Version, now: float) -> None:
-        """Handle a member's word that it grants under this version or later only."""
+        """Handle an acknowledgement: the member grants no leases under rosters older than `version`."""
         if version.epoch != self.group.epoch or version.term != self.group.term:
             return
         if self._replication.acknowledged(member, version):
             self._record_acknowledged(now)
 
     def snapshot_requested(self, member: str, now: float) -> None:
-        """Handle a member's request for the complete roster: it lacks what the newest delta follows."""
+        """Handle a request for the complete roster from a member that could not apply a delta."""
         if member in self._replication.progress and self.is_started:
             self._replication.send_snapshot(member, now)
 
@@ -201,11 +201,11 @@
 
     @property
     def next_wake_at(self) -> float:
-        """When `wake` is to be called next."""
+        """The time at which to call `wake`."""
         if not self.is_started:
             return max(self._idle_until, self._takeover.next_step_at)
         next_step_at = min(
-            self.locations.pending.since + BATCH_DELAY_SECONDS,
+            self.locations.pending.oldest_recorded_at + BATCH_DELAY_SECONDS,
             self._send_settled_at,
             self.locations.next_removal_at,
             self._replication.next_resend_at,
@@ -214,11 +214,11 @@
         return max(self._idle_until, next_step_at)
 
     def resumed(self, now: float) -> None:
-        """Note that this machine was stopped: reports that relays are back still wait at its sockets."""
+        """After a process pause, postpone removals: reports of new sessions still wait in the sockets."""
         self.locations.postpone_removals(now + RESEND_DELAY_SECONDS)
 
     def wake(self, now: float) -> None:
-        """Do what is due."""
+        """Perform the work that is due."""
         if not self.is_started:
             self._take_over(now)
         if not self.may_write(now):
@@ -228,7 +228,7 @@
             return
         self.locations.remove_expired(now)
         if self.is_started:
-            if now >= self.locations.pending.since + BATCH_DELAY_SECONDS:
+            if now >= self.locations.pending.oldest_recorded_at + BATCH_DELAY_SECONDS:
                 self._write_pending(now)
             self._replication.resend(now)
             self._settle(now)
