--- a/violetdoor/control/console_status.py
+++ b/violetdoor/control/console_status.py
@@ -1,7 +1,7 @@
-"""What the console shows of a relay's attachment (`GET /fleet`) and of a control machine (`GET /control`).
+"""The console's JSON for a relay's attachment (`GET /fleet`) and for a control machine (`GET /control`).
 
-The encoded names are those that operators' tools read (docs/operators/fleet-scale.md); they stay, whatever
-the fields are called here.
+Operators' tools read the encoded names (docs/operators/fleet-scale.md), so these stay the same even if a
+field is renamed here.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     from violetdoor.control.server import ControlServer
     from violetdoor.net.addresses import Address
 
-SHOWN_DECIMALS = 3  # of a time in seconds
+SECONDS_DECIMALS = 3  # decimal places of shown times
 
 
 class RegionMembersView(Struct, frozen=True):
-    """The relays alive in one region."""
+    """The number of living relays of one region."""
 
     total: int
     zones: dict[str, int]
@@ -34,7 +34,7 @@
 
 
 class FleetMembersView(Struct, frozen=True):
-    """The relays alive in all regions."""
+    """The number of living relays of all regions."""
 
     total: int
     zones: dict[str, int]
@@ -43,7 +43,7 @@
 
 
 class AttachmentView(Struct, frozen=True):
-    """A relay's session, and what it knows of the fleet."""
+    """A relay's session, its lease, and its knowledge of the fleet."""
 
     name: str
     instance: str
@@ -67,7 +67,7 @@
 
 
 class RegionView(Struct, frozen=True):
-    """What a control machine knows of another region."""
+    """A control machine's knowledge of another region."""
 
     region: str
     is_connected: bool = field(name="connected")
@@ -77,7 +77,7 @@
 
 
 class MachineView(Struct, frozen=True):
-    """A control machine: its group, its sessions, the rosters."""
+    """A control machine: its group, its sessions and its rosters."""
 
     name: str
     region: str
@@ -98,7 +98,7 @@
 
 
 def attachment_view(client: ControlClient) -> AttachmentView:
-    """Read the state of a relay's attachment."""
+    """Return the view of a relay's attachment."""
     attachment = client.attachment
     status = attachment.status(client.clock())
     roster = attachment.roster
@@ -113,7 +113,7 @@
         version=_text(status.version),
         settled=_text(status.settled),
         may_act=status.may_act,
-        lease_remaining_seconds=round(status.lease_remaining_seconds, SHOWN_DECIMALS),
+        lease_remaining_seconds=round(status.lease_remaining_seconds, SECONDS_DECIMALS),
         has_settled=attachment.has_settled,
         idle_seconds=_seconds(status.idle_seconds),
         rejection_reason=status.rejection_reason,
@@ -126,7 +126,7 @@
 
 
 def machine_view(server: ControlServer) -> MachineView:
-    """Read the state of a control machine."""
+    """Return the view of a control machine."""
     status = server.machine.status(server.clock())
     return MachineView(
         name=status.name,
@@ -149,7 +149,7 @@
 
 
 def console_json(view: AttachmentView | MachineView) -> str:
-    """Encode the JSON of a console call, as text that ends with a line end."""
+    """Encode a view as JSON text that ends with a newline."""
     return orjson.dumps(msgspec.to_builtins(view), option=orjson.OPT_INDENT_2).decode() + "\n"
 
 
@@ -185,5 +185,5 @@
 
 
 def _seconds(value: float) -> float | None:
-    """Seconds as shown; None for an infinite time, which JSON has no form for."""
-    return round(value, SHOWN_DECIMALS) if math.isfinite(value) else None
+    """Return rounded seconds; None for an infinite time, which JSON can't represent."""
+    return round(value, SECONDS_DECIMALS) if math.isfinite(value) else None
