--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Control machines and relays in virtual time: who is in the roster, who may act, and what a fault costs."""
+"""Control machines and relays in virtual time: members of the roster, leases, and the effects of faults."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
     world.kill_relay(owner, silent)
     checks = ControlChecks(world, 1, KEYS)
     world.watch = checks.look
-    assert (took := world.until(lambda: has_agreed(world), within)) is not None
-    assert took > 1.9
+    assert (elapsed_seconds := world.until(lambda: has_agreed(world), within)) is not None
+    assert elapsed_seconds > 1.9
     assert world.until(lambda: any(
         attachment_of(world, r.name).owns("k1", world.relay_clock(r)) for r in world.running()
     ), 8.0) is not None  # fmt: skip
@@ -112,13 +112,15 @@
     checks = ControlChecks(world, 1, KEYS)
     world.watch = checks.look
     world.kill_control(victim, silent)
-    began = world.now
+    started_at = world.now
     world.run(20)
-    lost = [e for r in world.running() for e in r.events if e[0] > began and e[1] == "attach.lease_expired"]
+    lost = [
+        e for r in world.running() for e in r.events if e[0] > started_at and e[1] == "attach.lease_expired"
+    ]
     assert not lost
     assert checks.broken is None
     assert has_agreed(world)
-    # What follows is written by whoever leads now.
+    # A leader exists and writes rosters: a later change reaches all relays.
     world.kill_relay("a-r4")
     assert world.until(lambda: has_agreed(world), 5.0) is not None
 
@@ -126,19 +128,19 @@
 def test_relays_return_to_a_restarted_control_machine(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(control_selection, "INITIAL_RETURN_DELAY_SECONDS", 6.0)
     world = settled_world(12)
-    world.run(60)  # after the founding, all are where they belong
+    world.run(60)  # after the founding, until all relays are at their preferred control machine
     before = {name: len(machine_of(world, name).sessions.by_name) for name in world.groups["a"]}
     victim = max(before, key=lambda name: before[name])
     world.kill_control(victim)
     world.run(20)
     world.start_control(victim)
-    began = world.now
+    started_at = world.now
     world.run(60)
     assert {name: len(machine_of(world, name).sessions.by_name) for name in world.groups["a"]} == before
     assert before[victim] > 0
-    assert not [e for e in world.reports if e[0] > began and e[2] == "control.members_changed"]
+    assert not [e for e in world.reports if e[0] > started_at and e[2] == "control.members_changed"]
     assert not [
-        e for r in world.running() for e in r.events if e[0] > began and e[1] == "attach.lease_expired"
+        e for r in world.running() for e in r.events if e[0] > started_at and e[1] == "attach.lease_expired"
     ]
     world.leave("a-r3")
     world.run(1)
@@ -181,16 +183,16 @@
         world.kill_control(name)
     world.run(30)
     now = world.relay_clock(relay)
-    living = attachment.member_counts(now)
-    assert living.total == 6
-    assert 28 < living.age_seconds < 32
+    counts = attachment.member_counts(now)
+    assert counts.total == 6
+    assert 28 < counts.age_seconds < 32
     assert not attachment.may_act(now)
     assert not any(attachment.owns(key, now) for key in KEYS)
-    # Each of three machines five times in the first 8 s, and then each in 2 to 4 s.
+    # At each of the three machines: five attempts in the first 8 s, and then one every 2 to 4 s.
     assert attachment.counters["connects"] - connects <= 3 * (5 + 22 / 2)
     for name in world.groups["a"]:
         world.start_control(name)
-    # A group that was founded anew: its roster is another history, in which nothing is owned until it settled.
+    # The group was founded again: its roster is a new history, in which no key is owned before it settles.
     assert world.until(lambda: has_agreed(world), 20.0) is not None
     assert attachment.roster is not None
     assert attachment.member_counts(world.relay_clock(relay)).total == 6
@@ -231,10 +233,10 @@
     world.kill_relay("a-r1")
     world.run(60)
     relay = world.relays["a-r0"]
-    living = attachment_of(world, "a-r0").member_counts(world.relay_clock(relay))
-    assert living.by_region["c"].total == 5
-    assert 55 < living.by_region["c"].age_seconds < 70
-    assert living.by_region["b"].age_seconds == 0
+    counts = attachment_of(world, "a-r0").member_counts(world.relay_clock(relay))
+    assert counts.by_region["c"].total == 5
+    assert 55 < counts.by_region["c"].age_seconds < 70
+    assert counts.by_region["b"].age_seconds == 0
     assert all_may_act(world, "c")
     assert all_may_act(world, "a")
     world.heal()
@@ -262,27 +264,27 @@
     assert attachment.lookup(key) is not None
     world.carry_out_relay_actions(relay)
     world.run(0.1)
-    answer = relay.events[-1]
-    assert answer[1] == "looked up"
-    assert answer[2]["region"] == "b"
-    assert answer[2]["owner"] == attachment_of(world, "b-r0").owner(key)
+    lookup_event = relay.events[-1]
+    assert lookup_event[1] == "looked up"
+    assert lookup_event[2]["region"] == "b"
+    assert lookup_event[2]["owner"] == attachment_of(world, "b-r0").owner(key)
 
 
 def test_an_idle_relay_sends_one_short_heartbeat_a_second() -> None:
     world = settled_world(20)
-    said: list[object] = []
-    do_relay = world.carry_out_relay_action
+    sent: list[object] = []
+    carry_out_relay_action = world.carry_out_relay_action
 
-    def listening(relay: Relay, action: Action) -> None:
+    def record_and_carry_out(relay: Relay, action: Action) -> None:
         if relay.name == "a-r0" and isinstance(action, Send):
-            said.append(action.message)
-        do_relay(relay, action)
+            sent.append(action.message)
+        carry_out_relay_action(relay, action)
 
-    world.carry_out_relay_action = listening  # type: ignore[method-assign]
+    world.carry_out_relay_action = record_and_carry_out  # type: ignore[method-assign]
     world.run(10)
-    assert 9 <= len(said) <= 11
-    assert all(isinstance(message, Heartbeat) for message in said)
-    assert all(len(encode(message)) <= 26 for message in said)
+    assert 9 <= len(sent) <= 11
+    assert all(isinstance(message, Heartbeat) for message in sent)
+    assert all(len(encode(message)) <= 26 for message in sent)
 
 
 def test_an_upgrade_continues_the_incarnation_without_its_lease() -> None:
