--- a/tests/test_control_config.py
+++ b/tests/test_control_config.py
@@ -1,4 +1,4 @@
-"""Files of control machines and of attached relays: examples that are sound, and one line for what is not."""
+"""Configuration files of control machines and attached relays: valid examples, and one-line errors."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from violetdoor.configuration.operator_config import load_operator_config
 from violetdoor.control.config import read_config
 
-EXIT_INVALID = 2  # status of a program whose configuration is invalid
+EXIT_INVALID = 2  # exit status for an invalid configuration
 LISTED_SERVERS = {"front": "line", "servers": [{"addr": "127.0.0.1:1"}]}
 
-RELAY_FAULTS = [
+RELAY_FILE_ERRORS = [
     ({"control": []}, "fleet: 'control' is missing"),
     ({"region": None}, "fleet: 'region' is missing"),
     ({"listen": "127.0.0.1:7946"}, "fleet.listen: a relay attaches to control machines or keeps"),
@@ -32,7 +32,7 @@
     ({"control": ["a:70000"]}, "fleet.control[0]: found 'a:70000', expected host:port"),
 ]
 
-MACHINE_FAULTS = [
+MACHINE_FILE_ERRORS = [
     ({"listen": "nowhere"}, "control.listen: found 'nowhere', expected host:port"),
     ({"regions": {"r2": ["a:1"]}}, "control.regions: the machine's own region 'r1' is missing"),
     ({"regions": {"r1": []}}, "control.regions.r1: found no address"),
@@ -45,7 +45,7 @@
 
 
 def assert_one_line_error(result: subprocess.CompletedProcess[str], *texts: str) -> None:
-    """See that a command failed with one line, which has these texts."""
+    """Check that a command failed with a single line on standard error that contains `texts`."""
     assert result.returncode == EXIT_INVALID, result
     assert not result.stdout, result
     (line,) = result.stderr.splitlines()
@@ -54,7 +54,7 @@
 
 
 def write_relay_file(folder: Path, values: dict[str, Any]) -> Path:
-    """Write a relay's file with these values in its table `[fleet]`; None leaves a key out."""
+    """Write a relay's file with these values in its table `[fleet]`; None omits the key."""
     path = Region(folder, LISTED_SERVERS).write_relay_file("r0", **values)
     data = json.loads(path.read_text())
     data["fleet"] = {name: value for name, value in data["fleet"].items() if value is not None}
@@ -77,7 +77,7 @@
     )
 
 
-@pytest.mark.parametrize(("values", "message"), RELAY_FAULTS)
+@pytest.mark.parametrize(("values", "message"), RELAY_FILE_ERRORS)
 def test_a_fault_in_a_relays_file_is_one_line_with_its_location(
     tmp_path: Path, values: dict[str, Any], message: str
 ) -> None:
@@ -87,7 +87,7 @@
     assert re.fullmatch(rf".*r0\.json:1:\d+: {re.escape(message)}.*", str(error.value))
 
 
-@pytest.mark.parametrize(("values", "message"), MACHINE_FAULTS)
+@pytest.mark.parametrize(("values", "message"), MACHINE_FILE_ERRORS)
 def test_a_fault_in_a_control_machines_file_is_one_line_with_its_location(
     tmp_path: Path, values: dict[str, Any], message: str
 ) -> None:
