--- a/tests/test_control_roster.py
+++ b/tests/test_control_roster.py
@@ -31,15 +31,15 @@
     chunks = roster.snapshot_chunks()
     assert len(chunks) == 3
     assert all(len(encode(chunk)) < MAX_FRAME_BYTES for chunk in chunks)
-    assembly = SnapshotAssembler()
-    assert [assembly.add(chunk) for chunk in chunks[:2]] == [None, None]
-    whole = assembly.add(chunks[2])
-    assert whole is not None
-    assert whole.members == roster.members
-    assert whole.zone_counts() == roster.zone_counts()
-    assembly.add(chunks[0])
+    assembler = SnapshotAssembler()
+    assert [assembler.add(chunk) for chunk in chunks[:2]] == [None, None]
+    assembled = assembler.add(chunks[2])
+    assert assembled is not None
+    assert assembled.members == roster.members
+    assert assembled.zone_counts() == roster.zone_counts()
+    assembler.add(chunks[0])
     with pytest.raises(ValueError, match="out of order"):
-        assembly.add(chunks[2])
+        assembler.add(chunks[2])
 
 
 def test_the_delta_log_is_bounded_by_count_and_by_bytes() -> None:
@@ -61,17 +61,17 @@
 
 def test_deltas_are_split_into_frames() -> None:
     name = "n" * MAX_NAME_BYTES
-    full = tuple(Relay(name, 2**62, "h" * MAX_HOST_BYTES, 65535, "z" * MAX_ZONE_BYTES) for _ in range(150))
-    gone = tuple(RelayKey(name, 2**62) for _ in range(150))
-    deltas = tuple(Delta(Version(2**60, 9, n), Version(2**60, 9, n + 1), full, gone) for n in range(3))
+    joined = tuple(Relay(name, 2**62, "h" * MAX_HOST_BYTES, 65535, "z" * MAX_ZONE_BYTES) for _ in range(150))
+    departed = tuple(RelayKey(name, 2**62) for _ in range(150))
+    deltas = tuple(Delta(Version(2**60, 9, n), Version(2**60, 9, n + 1), joined, departed) for n in range(3))
     parts = split_into_frames(deltas)
     assert [delta for part in parts for delta in part] == list(deltas)
     assert all(len(encode(RosterDeltas(part))) <= MAX_FRAME_BYTES - 64 for part in parts)
 
 
 def test_a_departed_relay_counts_until_its_departure_has_settled() -> None:
-    me = RelayKey("r0", 1)
-    history = RosterHistory(me)
+    own_key = RelayKey("r0", 1)
+    history = RosterHistory(own_key)
     first, second = Version(1, 1, 1), Version(1, 1, 2)
     history.replace(Roster(first, relays(4)))
     key = next(f"k{n}" for n in range(99) if max(("r0", "r1", "r2", "r3"), key=lambda r: rendezvous_weight(f"k{n}", r)) == "r2"
@@ -84,7 +84,7 @@
     assert not history.is_owner(key)
     history.settle(second)
     assert history.is_owner(key)
-    # A roster that comes whole begins a history of its own.
+    # A roster that arrives as a snapshot starts a new history.
     assert not history.replace(Roster(first, relays(4)))
     assert history.replace(Roster(Version(1, 2, 0), relays(1)))
     assert not history.is_owner(key)
@@ -96,11 +96,12 @@
     replica = Replica()
     assert replica.install_snapshot(snapshot(Version(7, 2, 0)), group(2))
     assert replica.is_current(group(2))
-    assert replica.is_current(group(3))  # still the same member: nothing settles without its word
+    assert replica.is_current(group(3))  # same membership: nothing settles without its acknowledgement
     late = Delta(Version(7, 2, 0), Version(7, 2, 1))
     assert replica.apply(late, group(3)) is ApplyOutcome.OTHER_TERM
     assert replica.apply(late, group(2)) is ApplyOutcome.APPLIED
     assert not replica.is_current(group(4, incarnation=2))
     assert not replica.is_current(group(2, epoch=8))
     assert not replica.install_snapshot(snapshot(Version(7, 2, 0)), group(2))
-    assert replica.install_snapshot(snapshot(Version(6, 1, 0)), group(1, epoch=6))  # an epoch founded anew
+    # A group that was founded again has another epoch, which can't be compared with the former one.
+    assert replica.install_snapshot(snapshot(Version(6, 1, 0)), group(1, epoch=6))
