--- a/tests/test_control_sequencer.py
+++ b/tests/test_control_sequencer.py
@@ -1,4 +1,4 @@
-"""The leader of a control group: taking over, settling, and reports of sessions."""
+"""The leader of a control group: takeover, settling, and session reports."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     leader.wake(0.0)
     assert {sent.member for sent in leader.outbox if isinstance(sent.message, TermStarted)} == {"c1", "c2"}
     leader.state_received("c1", TermState(7, 2, Version(7, 1, 3), Version(7, 1, 2), (), is_current=True), 0.1)
-    # A member that joined again may know a roster that never settled, of a branch that the others left.
+    # A member that joined again may have a roster that never settled and that the other members replaced.
     leader.state_received("c2", TermState(7, 2, Version(7, 1, 9), None, (), is_current=False), 0.1)
     leader.wake(0.1)
     assert not leader.is_started
@@ -36,7 +36,7 @@
     assert leader.is_started
     assert replica.version == Version(7, 2, 0)
     assert replica.settled == Version(7, 1, 2)
-    # Nobody's session is known: all have some time to attach again.
+    # No session was reported: all relays get a grace period to attach again.
     leader.wake(4.0)
     assert replica.roster is not None
     assert len(replica.roster) == 3
@@ -60,13 +60,13 @@
     version = Version(7, 2, 0)
     leader.acknowledged("c1", version, 1.0)
     leader.wake(20.0)
-    assert replica.settled is None  # c2 may still grant under the one before
+    assert replica.settled is None  # c2 may still grant leases under the previous roster
     leader.acknowledged("c2", version, 20.0)
     leader.wake(30.0)
-    assert replica.settled is None  # so may a machine that was removed from the view
+    assert replica.settled is None  # and so may a machine that was removed from the view
     leader.group_changed(group(2), 30.0)
     leader.wake(36.4)
-    assert replica.settled is None  # and what was granted until then holds for 6 s of the slowest clock
+    assert replica.settled is None  # leases granted until then are valid for 6 s by the slowest clock
     leader.wake(36.5)
     assert replica.settled == version
 
@@ -84,7 +84,7 @@
     assert len(replica.roster) == 1
     leader.session_opened("c1", SessionOpened(relay, 2), 5.0)
     leader.session_ended("c0", SessionEnded(RelayKey("r0", 1), 1, "silent"), 5.1)
-    leader.session_opened("c0", SessionOpened(relay, 1), 5.2)  # a report that was overtaken
+    leader.session_opened("c0", SessionOpened(relay, 1), 5.2)  # an older report that arrives late
     leader.wake(9.0)
     assert len(replica.roster) == 1
     assert leader.locations.by_name["r0"].member == "c1"
