--- a/tests/test_control_search.py
+++ b/tests/test_control_search.py
@@ -1,4 +1,4 @@
-"""The search over faults of control groups finds each injected bug, and none without one."""
+"""The search over fault schedules of control groups finds each injected bug, and no violation without one."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def rosters_settle_while_older_leases_hold(patch: pytest.MonkeyPatch) -> None:
-    """A roster counts as settled once it is acknowledged, whatever leases still hold."""
+    """A roster settles once it is acknowledged, even if older leases are still valid."""
     patch.setattr(settlement, "LEASE_EXPIRY_SECONDS", 0.0)
 
 
 def rosters_settle_by_the_leader_alone(patch: pytest.MonkeyPatch) -> None:
-    """A roster settles by the leader's own word."""
+    """A roster settles without the acknowledgements of the other members."""
 
     def record_by_leader(self: sequencer.Sequencer, now: float) -> None:
         version = self.replica.version
@@ -34,7 +34,7 @@
 
 
 def leases_are_granted_without_quorum(patch: pytest.MonkeyPatch) -> None:
-    """A control machine grants leases also when it has none in its group."""
+    """A control machine grants leases although it has no lease in its group."""
 
     def may_act(self: leases.LeaseGranter, _now: float) -> bool:
         return self.group is not None
@@ -47,7 +47,7 @@
 
 
 def lease_starts_with_its_acknowledgement(patch: pytest.MonkeyPatch) -> None:
-    """A relay counts its lease from the answer, not from its heartbeat."""
+    """A relay's lease starts when the acknowledgement arrives, not when the heartbeat was sent."""
     handle_heartbeat_ack = session.Session._handle_heartbeat_ack
 
     def handle_late_ack(self: session.Session, ack: HeartbeatAck, now: float) -> None:
@@ -58,7 +58,7 @@
 
 
 def departed_relays_are_forgotten(patch: pytest.MonkeyPatch) -> None:
-    """A relay acts on what it owns in the newest roster alone."""
+    """A relay acts on the keys that it owns in the newest roster, without regard to departed relays."""
 
     def newest(self: RosterHistory, key: str) -> bool:
         return self.roster is not None and self.roster.owner(key) == self.own_key.name
@@ -76,7 +76,7 @@
 
 
 def leases_are_granted_under_a_roster_not_sent(patch: pytest.MonkeyPatch) -> None:
-    """A session that is behind gets a lease all the same."""
+    """A session gets a lease although it was not sent the newest roster."""
 
     def may_grant(self: leases.LeaseGranter, session: Session, now: float) -> bool:
         return session.relay is not None and self.may_act(now)
@@ -90,7 +90,7 @@
 MEMBERS_ARE_PARTITIONED = "cut pair", "cut pair", "kill relay", "restart", "heal"
 MACHINES_ARE_PARTITIONED = "cut control", "cut control", "heal", "kill relay", "restart"
 MACHINES_PAUSE = "stop control", "stop control", "go on", "go on", "kill control", "restart"
-BUGS: list[tuple[Patch, tuple[str, ...]]] = [  # and the harms that it is looked for under
+BUGS: list[tuple[Patch, tuple[str, ...]]] = [  # each with the faults that the search injects
     (rosters_settle_while_older_leases_hold, RELAYS_PAUSE),
     (rosters_settle_by_the_leader_alone, MEMBERS_ARE_PARTITIONED),
     (leases_are_granted_without_quorum, MACHINES_ARE_PARTITIONED),
@@ -99,20 +99,20 @@
     (departed_relays_are_forgotten, RELAYS_PAUSE),
     (joined_relays_act_before_they_have_settled, RELAYS_RESTART),
 ]
-SEEDS = range(40)  # runs that each is looked for in
+SEEDS = range(40)  # runs in which each bug is searched for
 
 
-@pytest.mark.parametrize(("bug", "harms"), BUGS, ids=lambda one: getattr(one, "__name__", ""))
+@pytest.mark.parametrize(("bug", "fault_kinds"), BUGS, ids=lambda value: getattr(value, "__name__", ""))
 def test_an_injected_bug_is_found(
-    bug: Patch, harms: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
+    bug: Patch, fault_kinds: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     bug(monkeypatch)
-    found = control_explore.search(SEEDS, harms)
+    found = control_explore.search(SEEDS, fault_kinds)
     assert found is not None
-    # The same run shows it again, and holds without it.
-    assert control_explore.Schedule(found.seed, harms).run() == found
+    # The same run reproduces the violation, and has none without the bug.
+    assert control_explore.Schedule(found.seed, fault_kinds).run() == found
     monkeypatch.undo()
-    assert control_explore.Schedule(found.seed, harms).run() is None
+    assert control_explore.Schedule(found.seed, fault_kinds).run() is None
 
 
 def test_without_a_bug_no_promise_breaks() -> None:
@@ -126,7 +126,7 @@
 
 
 def test_leases_outlive_their_end_beyond_the_bound_on_clock_drift() -> None:
-    """The bound is what the promises rest on."""
+    """The guarantees rest on that bound, so the search finds a violation beyond it."""
     assert control_explore.search(SEEDS, RELAYS_PAUSE, assumed=False) is not None
 
 
