--- a/tests/control_regions.py
+++ b/tests/control_regions.py
@@ -1,4 +1,4 @@
-"""Regions of control machines and relays in virtual time, for tests."""
+"""Regions of control machines and relays in virtual time, and queries about them, for tests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def settled_world(
     relays: int, machines: int = 3, regions: tuple[str, ...] = ("a",), seed: int = 1
 ) -> ControlWorld:
-    """A world in which all relays hold a lease, and the first roster has settled."""
+    """Return a world in which all relays have a lease and the first roster has settled."""
     world = ControlWorld(seed)
     for region in regions:
         world.add_region(region, machines)
@@ -39,7 +39,7 @@
 
 
 def all_relays_count(world: ControlWorld, region: str, count: int, by: str) -> bool:
-    """Whether all relays of one region count so many in another one."""
+    """Return whether all relays of the region `by` count `count` relays in `region`."""
     for relay in world.running(by):
         assert relay.attachment is not None
         known = relay.attachment.member_counts(world.relay_clock(relay)).by_region.get(region)
--- a/tests/control_rosters.py
+++ b/tests/control_rosters.py
@@ -1,4 +1,4 @@
-"""Rosters, snapshots and states of a control group, for tests."""
+"""Sample relays, snapshots and group states for tests of a control group."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 def relays(count: int, start: int = 0) -> tuple[Relay, ...]:
-    """Relays r0, r1, ... in three zones."""
+    """Return `count` relays, named r0, r1, ... from `start` on, in three zones."""
     return tuple(Relay(f"r{n}", n + 1, "host", 1, f"z{n % 3}") for n in range(start, start + count))
 
 
 def group(
     term: int, incarnation: int = 1, epoch: int = 7, members: tuple[str, ...] = ("c0", "c1", "c2")
 ) -> GroupState:
-    """The state of a group at its leader c0, whose lease never expires."""
+    """Return the state of a group at its leader c0, whose lease does not expire."""
     return GroupState(
         epoch=epoch,
         term=term,
@@ -28,5 +28,5 @@
 
 
 def snapshot(version: Version) -> GroupSnapshot:
-    """A complete roster of three relays."""
+    """Return a complete roster of three relays."""
     return GroupSnapshot(version, None, relays(3))
