--- a/tests/recorded/control_samples.py
+++ b/tests/recorded/control_samples.py
@@ -1,6 +1,7 @@
-"""Sample values of every message that `violetdoor.control` encodes: no two numbers or names of one are equal.
+"""Sample values of every message that `violetdoor.control` encodes.
 
-Keys as in `recorded.fleet_samples`: plain words, or a union and the tag on the wire.
+All numbers and names within one sample differ. The keys have the form of those in `recorded.fleet_samples`:
+plain words, or the name of a union and the message's tag on the wire.
 """
 
 from __future__ import annotations
@@ -96,11 +97,11 @@
 
 
 def session_responses() -> dict[str, c.SessionResponse]:
-    refusals: dict[str, c.SessionResponse] = {
-        f"session answer 2, {why}": c.Rejected(reason=why, retry_after_seconds=7.5)
-        for why in get_args(c.RejectionReason)
+    rejections: dict[str, c.SessionResponse] = {
+        f"session answer 2, {reason}": c.Rejected(reason=reason, retry_after_seconds=7.5)
+        for reason in get_args(c.RejectionReason)
     }
-    return refusals | {
+    return rejections | {
         "session answer 1": c.Welcome(
             control_name="control-2",
             region="region-e",
@@ -128,11 +129,11 @@
 
 
 def group_messages() -> dict[str, c.GroupMessage]:
-    ends: dict[str, c.GroupMessage] = {
-        f"group 2, {why}": c.SessionEnded(key=relay_key(), attempt=602, reason=why)
-        for why in get_args(c.SessionEndReason)
+    session_ends: dict[str, c.GroupMessage] = {
+        f"group 2, {reason}": c.SessionEnded(key=relay_key(), attempt=602, reason=reason)
+        for reason in get_args(c.SessionEndReason)
     }
-    return ends | {
+    return session_ends | {
         "group 1": c.SessionOpened(relay=relay(), attempt=601),
         "group 3": c.Replicate(delta=delta(), settled=version(20)),
         "group 3, none": c.Replicate(delta=delta(), settled=None),
