--- a/violetdoor/control/config.py
+++ b/violetdoor/control/config.py
@@ -77,10 +77,10 @@
     try:
         form = msgspec.convert(data, ControlFile)
     except msgspec.ValidationError as error:
-        found = form_violations(ControlFile, data) or [FieldViolation((), str(error))]
-        return ValidatedFile(None, found)
-    found = list(control_violations(form))
-    return ValidatedFile(None if found else form, found)
+        violations = form_violations(ControlFile, data) or [FieldViolation((), str(error))]
+        return ValidatedFile(None, violations)
+    violations = list(control_violations(form))
+    return ValidatedFile(None if violations else form, violations)
 
 
 def _to_config(form: ControlFile, path: Path) -> ControlConfig:
