--- a/violetdoor/control/group_member.py
+++ b/violetdoor/control/group_member.py
@@ -50,11 +50,11 @@
 
     def state_changed(self, state: GroupState | None, now: float) -> None:
         """Handle a change of the group's state; None if this machine is in no view."""
-        before = self.state
+        previous_state = self.state
         self.state = state
         if state is None:
             self.sequencer = None
-        elif before is None or before.membership != state.membership:
+        elif previous_state is None or previous_state.membership != state.membership:
             self._term_changed(state, now)
         elif self.sequencer is not None:
             self.sequencer.group_changed(state, now)
