--- a/violetdoor/control/pending_changes.py
+++ b/violetdoor/control/pending_changes.py
@@ -27,7 +27,7 @@
 
     joined: dict[str, Relay] = field(default_factory=dict)  # by name
     departed: dict[RelayKey, None] = field(default_factory=dict)
-    oldest_recorded_at: float = math.inf
+    oldest_recorded_at: float = math.inf  # infinite until a change is recorded
 
     def __bool__(self) -> bool:
         """Return whether any change is pending."""
