--- a/tests/recorded/record_fleet.py
+++ b/tests/recorded/record_fleet.py
@@ -30,8 +30,8 @@
     asked = [encode(one) for one in control_samples.session_requests().values()]
     answered = [encode(one) for one in control_samples.session_responses().values()]
     return {
-        "client": [client.nonce.hex(), *(client.frame(body).hex() for body in asked)],
-        "server": [server.nonce.hex(), *(server.frame(body).hex() for body in answered)],
+        "client": [client.nonce.hex(), *(client.encode_frame(body).hex() for body in asked)],
+        "server": [server.nonce.hex(), *(server.encode_frame(body).hex() for body in answered)],
     }
 
 
@@ -50,7 +50,7 @@
 
 def messages(groups: list[tuple[wire_forms.Samples, wire_forms.Decoder | None]]) -> dict[str, Any]:
     samples = wire_forms.with_decoders(groups)
-    return {key: wire_forms.form(value, decoder) for key, (value, decoder) in samples.items()}
+    return {key: wire_forms.encoded_forms(value, decoder) for key, (value, decoder) in samples.items()}
 
 
 def main() -> None:
--- a/tests/test_recorded_upgrade.py
+++ b/tests/test_recorded_upgrade.py
@@ -57,7 +57,7 @@
 def fleet_state() -> HandoverState:
     """What makes a relay the member that it is; views are recorded with the fleet's messages."""
     return HandoverState(
-        process=101, me=Peer("n1", 102, "127.0.0.7", 7103, "za", 104, 105), state="member", started_at=106.5,
+        process=101, local_peer=Peer("n1", 102, "127.0.0.7", 7103, "za", 104, 105), state="member", started_at=106.5,
         durable_state=None, latest_view=None, last_epoch=107, last_seq=108,
         lease=LeaseState(
             expires_at=109.5, not_before=110.25, frozen=True, round_number=111, starter=112, joined=b"j\x71",
@@ -146,8 +146,8 @@
                 load=0.23,
                 reported_at_ms=1024.5,
                 health=0.25,
-                setup_ms=26.5,
-                quickest_check_ms=27.5,
+                smoothed_setup_ms=26.5,
+                min_health_check_ms=27.5,
             ),
             LearnedServerState(
                 name="s-1",
@@ -155,14 +155,14 @@
                 load=None,
                 reported_at_ms=None,
                 health=0.15,
-                setup_ms=None,
-                quickest_check_ms=None,
+                smoothed_setup_ms=None,
+                min_health_check_ms=None,
             ),
         )
         known = LearnedState(
             fleet_load=0.31,
             load_per_weight=32.5,
-            quickest_setup_ms=33.5,
+            min_setup_ms=33.5,
             timeout_fraction=0.34,
             servers=servers,
         )
