--- a/violetdoor/control/relay/__init__.py
+++ b/violetdoor/control/relay/__init__.py
@@ -1,7 +1,8 @@
-"""The relay's side of the control plane: a session at a control machine, and what the relay learns by it.
+"""The relay's side of the control plane: its session at a control machine, and the fleet state it receives.
 
-`attachment` makes all decisions and has no input or output; `client` gives it sockets and a clock. The
-attachment is made of parts that each own their state: `control_selection` (which control machine, and when
-again), `lease` (heartbeats and the lease they were granted), `roster_history` (which keys this relay owns),
-`membership` (who is alive in other regions) and `shared_map_sync` (values that every relay knows).
+`attachment` makes all decisions and does no I/O; `client` drives it with sockets and a clock. The attachment
+is composed of parts that each own their state: `control_selection` (which control machine to connect to, and
+when to retry one), `lease` (heartbeats and the lease granted for them), `roster_history` (which keys this
+relay owns), `membership` (the relays alive in each region) and `shared_map_sync` (values that all relays
+share).
 """
--- a/violetdoor/control/relay/actions.py
+++ b/violetdoor/control/relay/actions.py
@@ -1,4 +1,4 @@
-"""What an attachment wants done, in the order in which it is to be done."""
+"""Actions that an attachment requests from its driver, which executes them in order."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class Connect:
     """Open a connection to a control machine in place of an earlier one.
 
-    It is answered by `handle_connected` or `handle_disconnected`.
+    The driver reports the outcome with `handle_connected` or `handle_disconnected`.
     """
 
     address: Address
@@ -27,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """Close the connection once what was sent before is written.
+    """Close the connection after all earlier messages are written.
 
-    `handle_disconnected` need not be called for it.
+    The driver need not call `handle_disconnected` for it.
     """
 
     reason: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LookupResult:
-    """The answer to `lookup`: the owner of the key, by what the control machine knows."""
+    """The response to `lookup`: the key's owner as known to the control machine; None if it knows none."""
 
     lookup_number: int
     region: str
@@ -48,26 +48,26 @@
 
 
 class ActionQueue:
-    """What the parts of an attachment want done, in order."""
+    """The actions that the parts of an attachment request, in order."""
 
     def __init__(self) -> None:
-        """Begin with nothing to do."""
+        """Start with an empty queue."""
         self._actions: list[Action] = []
 
     def append(self, action: Action) -> None:
-        """Have this done after all before it."""
+        """Queue an action behind all earlier ones."""
         self._actions.append(action)
 
     def send(self, message: SessionRequest) -> None:
-        """Have a message sent on the connection."""
+        """Queue a message to be sent on the connection."""
         self._actions.append(Send(message))
 
     def emit(self, name: str, **values: str | int | None) -> None:
-        """Have an event emitted."""
+        """Queue an event to be emitted."""
         self._actions.append(EmitEvent(name, values))
 
     def take(self) -> list[Action]:
-        """Return what is to be done since the last call."""
+        """Return the actions queued since the last call, and clear the queue."""
         actions = self._actions
         self._actions = []
         return actions
--- a/violetdoor/control/relay/options.py
+++ b/violetdoor/control/relay/options.py
@@ -1,4 +1,4 @@
-"""What a relay's attachment is configured with."""
+"""Configuration of a relay's attachment to its control group."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 @dataclass(slots=True, frozen=True)
 class AttachmentOptions:
-    """What an operator's file says of a relay's attachment to its region's control machines.
+    """An operator's settings for a relay's attachment to its region's control machines.
 
-    The file calls these `region`, `control`, `key`, `advertise` and `wait`, in its table `[fleet]`.
+    In the configuration file these are `region`, `control`, `key`, `advertise` and `wait` of table `[fleet]`.
     """
 
     region: str
     control_addresses: tuple[Address, ...]
     key_path: Path
-    advertised_address: Address | None  # where others reach this relay, if not where it listens for clients
-    lease_wait_seconds: float  # for which a start waits for the first lease before clients are accepted
+    advertised_address: Address | None  # where others reach this relay; None: its listen address for clients
+    lease_wait_seconds: float  # how long startup waits for the first lease before clients are accepted
 
 
 @dataclass(frozen=True, slots=True)
 class AttachmentConfig:
-    """What the decisions of an attachment need to know of the relay and of its region."""
+    """The properties of the relay and of its region that an attachment needs."""
 
     name: str
-    host: str  # where others reach this relay
+    host: str  # with `port`: the address at which others reach this relay
     port: int
     zone: str
     region: str
-    control_addresses: tuple[Address, ...]  # of this region's control machines
+    control_addresses: tuple[Address, ...]  # of the control machines of this region
--- a/violetdoor/control/relay/replicated_state.py
+++ b/violetdoor/control/relay/replicated_state.py
@@ -1,4 +1,4 @@
-"""What a relay learns from the control group, and keeps when a session ends."""
+"""State that a relay receives from the control group and keeps when a session ends."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicatedState:
-    """The parts of it, each with state of its own."""
+    """The parts of the state that outlives sessions; each part owns its data."""
 
-    history: RosterHistory  # of the relay's region
-    membership: FleetMembership  # of all regions
+    history: RosterHistory  # rosters of the relay's own region
+    membership: FleetMembership  # relay counts of all regions
     map_sync: SharedMapSync
--- a/violetdoor/control/relay/snapshot.py
+++ b/violetdoor/control/relay/snapshot.py
@@ -1,4 +1,4 @@
-"""What an upgrade's new process needs in order to go on as the same run of the relay."""
+"""The state that lets the new process of an upgrade continue the same run of the relay."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class AttachmentSnapshot(Struct, frozen=True, array_like=True):
-    """The state of an attachment without its lease. It is encoded as an array: the order of fields stays."""
+    """The state of an attachment without its lease, encoded as an array: never reorder the fields."""
 
-    instance: int  # the relay's incarnation
-    attempt: int
-    version: Version | None
-    complete_since: Version | None
+    instance: int  # the relay's incarnation number
+    attempt: int  # sessions requested by this run so far
+    version: Version | None  # of the newest roster
+    complete_since: Version | None  # as in `RosterHistory`
     settled: Version | None
-    members: tuple[Relay, ...]
+    members: tuple[Relay, ...]  # of the newest roster
     tombstones: tuple[Tombstone, ...]
-    regions: tuple[str, ...]
-    region_counts: tuple[RegionCount, ...]
-    entries: tuple[MapEntry, ...]
+    regions: tuple[str, ...]  # all regions of the fleet
+    region_counts: tuple[RegionCount, ...]  # of other regions
+    entries: tuple[MapEntry, ...]  # of the shared map
