--- a/violetdoor/control/relay/attachment.py
+++ b/violetdoor/control/relay/attachment.py
@@ -1,7 +1,8 @@
-"""One relay's side of its session, without input or output: messages and times in, actions and deadlines out.
+"""One relay's side of its session, without I/O: messages and times in, actions and deadlines out.
 
-The relay keeps what it knows when the session ends: counts, owners, the shared map. Only its lease expires.
-Times are seconds of a monotonic clock that goes on while the machine sleeps, but for `unix_time_ms`.
+When a session ends, the relay keeps what it has learned: relay counts, owners of keys and the shared map.
+Only its lease expires. Times are seconds of a monotonic clock that also advances while the machine is
+suspended, except for `unix_time_ms`.
 """
 
 from __future__ import annotations
@@ -35,26 +36,26 @@
 from violetdoor.control.relay.session import Session
 from violetdoor.control.relay.shared_map_sync import SharedMapSync
 from violetdoor.control.relay.snapshot import AttachmentSnapshot
-from violetdoor.control.relay.status import AttachmentState, AttachmentStatus, SessionEnd
+from violetdoor.control.relay.status import AttachmentState, AttachmentStatus, SessionFailure
 from violetdoor.control.roster import Roster, relay_key
 from violetdoor.fleet.shared_map import SharedMap
 
 # Relays that start together spread their first connections over this time.
 MAX_START_DELAY_SECONDS = 0.5
-# A connection that takes longer counts as failed.
+# A connection attempt that takes longer counts as failed.
 CONNECT_TIMEOUT_SECONDS = 1.0
-# The answer to `Attach` that takes longer counts as failed.
+# An attach whose response takes longer counts as failed.
 ATTACH_TIMEOUT_SECONDS = 1.5
-# A control machine that rejected this relay is left alone for this time at least.
+# Minimum delay before a control machine that rejected this relay is tried again.
 MIN_REJECTED_RETRY_DELAY_SECONDS = 0.25
-# A control machine that sent this relay away is left alone for this time.
+# Delay before a control machine that sent `GoAway` is tried again.
 GO_AWAY_RETRY_DELAY_SECONDS = 2.0
 
 
 class Attachment:
-    """One relay's session at the control group of its region, opened again and again.
+    """One relay's session at the control group of its region, reopened whenever it ends.
 
-    The caller passes on what happens (`handle_...`), carries out `take_actions` in order, and calls
+    The driver reports events with `handle_...`, executes the actions of `take_actions` in order, and calls
     `wake` at `next_wake_at`.
     """
 
@@ -66,15 +67,15 @@
         unix_time_ms: Callable[[], float],
         instance: int | None = None,
     ) -> None:
-        """Begin a new run of the relay, or the run with this `instance` number."""
+        """Start a new run of the relay, or the run with the given `instance` number."""
         drawn_instance = random.getrandbits(62) | 1
         self.config = config
-        self.relay = _relay_of(config, drawn_instance if instance is None else instance)
-        self.shared_map = SharedMap(config.name)  # its `changed` is called for each value that is new here
+        self.relay = _make_relay(config, drawn_instance if instance is None else instance)
+        self.shared_map = SharedMap(config.name)  # calls its `on_change` for each new value
         self.membership = FleetMembership(config.region)
         self.state = AttachmentState.WAITING
         self.counters: Counter[str] = Counter()
-        self.attempt = 0  # sessions asked for by this run of the relay
+        self.attempt = 0  # sessions requested by this run of the relay
         self._actions = ActionQueue()
         self._map_sync = SharedMapSync(self.shared_map, unix_time_ms)
         self._history = RosterHistory(relay_key(self.relay))
@@ -86,10 +87,10 @@
         self._state_deadline = now + random.random() * MAX_START_DELAY_SECONDS
         self._lookup_count = 0
 
-    # What happens on the connection.
+    # Events of the connection.
 
     def handle_connected(self, now: float) -> None:
-        """Ask for a session: the connection is open, and its handshake complete."""
+        """Request a session: the connection is open and its handshake complete."""
         if self.state is not AttachmentState.CONNECTING:
             return
         self.attempt += 1
@@ -107,13 +108,16 @@
         self._actions.send(attach)
 
     def handle_disconnected(self, now: float, *, refused: bool = False) -> None:
-        """Back off: the connection ended, or could not be opened; `refused`: nobody listens there."""
+        """Back off after the connection ended or could not be opened.
+
+        `refused`: the peer refused the connection because nothing listens at its address.
+        """
         if self.state not in (AttachmentState.WAITING, AttachmentState.LEFT):
-            end = SessionEnd.CONNECTION_REFUSED if refused else SessionEnd.CONNECTION_CLOSED
-            self._back_off(end, now)
+            failure = SessionFailure.CONNECTION_REFUSED if refused else SessionFailure.CONNECTION_CLOSED
+            self._back_off(failure, now)
 
     def handle_message(self, message: SessionResponse, now: float) -> None:
-        """Handle a message; one that does not belong here ends the session."""
+        """Handle a message; one that violates the protocol ends an open session."""
         is_attaching = self.state is AttachmentState.ATTACHING
         is_attached = self.state is AttachmentState.ATTACHED
         if isinstance(message, Rejected) and (is_attaching or is_attached):
@@ -157,28 +161,31 @@
         try:
             self._session.handle_message(message, now)
         except ValueError:
-            self._abandon(SessionEnd.PROTOCOL_ERROR, now)
+            self._disconnect_and_back_off(SessionFailure.PROTOCOL_ERROR, now)
 
-    # From one control machine to the next.
+    # Switching control machines.
 
-    def _abandon(self, end: SessionEnd, now: float) -> None:
-        self._actions.append(Disconnect(end.value))
-        self._back_off(end, now)
+    def _disconnect_and_back_off(self, failure: SessionFailure, now: float) -> None:
+        self._actions.append(Disconnect(failure.value))
+        self._back_off(failure, now)
 
-    def _back_off(self, end: SessionEnd, now: float) -> None:
-        """End the session, or the attempt at one: retry this control machine later, and others before."""
-        self.counters[f"lost_{end.value.replace(' ', '_')}"] += 1
+    def _back_off(self, failure: SessionFailure, now: float) -> None:
+        """End the session or attempt; this control machine is not retried before its backoff has passed."""
+        self.counters[f"lost_{failure.value.replace(' ', '_')}"] += 1
         backoff_seconds = self._selector.draw_backoff_seconds()
         self._wait_for_retry(backoff_seconds, now, MAX_SWITCH_DELAY_SECONDS)
 
-    def _wait_for_retry(self, retry_after_seconds: float, now: float, spread_seconds: float) -> None:
-        """Wait for the first control machine that may be tried; the current one in `retry_after_seconds`."""
+    def _wait_for_retry(self, retry_after_seconds: float, now: float, max_jitter_seconds: float) -> None:
+        """End the session or attempt, and schedule a connection to the first control machine that is due.
+
+        The current one is due in `retry_after_seconds`. A random part of `max_jitter_seconds` is added.
+        """
         if self.state is AttachmentState.ATTACHED:
             self._actions.emit(events.ATTACH_SESSION_LOST, control=self._session.control_name)
         self.state = AttachmentState.WAITING
         self._session.close()
         self._selector.postpone_current(retry_after_seconds, now)
-        self._state_deadline = self._selector.draw_next_attempt_at(now, spread_seconds)
+        self._state_deadline = self._selector.draw_next_attempt_at(now, max_jitter_seconds)
 
     def _connect(self, now: float) -> None:
         self.state = AttachmentState.CONNECTING
@@ -187,7 +194,7 @@
         self._actions.append(Connect(self._selector.current.address))
 
     def _return_to_preferred(self, now: float) -> None:
-        """Try the preferred control machine, and go back at once where that fails."""
+        """Switch to the preferred control machine; if that fails, the previous one is tried next."""
         self._selector.return_at = math.inf
         self._actions.append(Disconnect("return to the preferred control machine"))
         previous = self._selector.current
@@ -195,18 +202,18 @@
         self._selector.return_to_preferred(previous)
         self._connect(now)
 
-    # Time.
+    # Timers.
 
     @property
     def next_wake_at(self) -> float:
-        """When `wake` is to be called next."""
+        """When the driver must call `wake` next."""
         wake_at = min(self._state_deadline, self._lease.next_wake_at)
         if self.state is AttachmentState.ATTACHED:
             wake_at = min(wake_at, self._session.next_wake_at, self._selector.return_at)
         return wake_at
 
     def wake(self, now: float) -> None:
-        """Do what is due by now."""
+        """Handle the deadlines that have passed."""
         self._lease.emit_change(now)
         match self.state:
             case AttachmentState.WAITING if now >= self._state_deadline:
@@ -215,29 +222,29 @@
                 else:
                     self._state_deadline = self._selector.next_retry_at
             case AttachmentState.CONNECTING | AttachmentState.ATTACHING if now >= self._state_deadline:
-                self._abandon(SessionEnd.NO_ANSWER, now)
+                self._disconnect_and_back_off(SessionFailure.NO_ANSWER, now)
             case AttachmentState.ATTACHED:
                 self._check_session(now)
 
     def _check_session(self, now: float) -> None:
-        end = self._session.check_timeouts(now)
-        if end is not None:
-            self._abandon(end, now)
+        failure = self._session.check_timeouts(now)
+        if failure is not None:
+            self._disconnect_and_back_off(failure, now)
         elif now >= self._selector.return_at:
             self._return_to_preferred(now)
         else:
             self._session.send_due_heartbeat(now)
 
-    # What the rest of the program does and asks.
+    # Interface for the driver and the rest of the program.
 
     def take_actions(self) -> list[Action]:
-        """Return what is to be done since the last call, in order."""
+        """Return the actions requested since the last call, in order."""
         return self._actions.take()
 
     def set_shared_value(self, key: str, value: float | None) -> bool:
-        """Set a value that all relays are to know; it is kept until it can be sent.
+        """Set a value that is shared with all relays; it is kept until it can be sent.
 
-        False where the key is too long or the map is full.
+        Returns False if the key is too long or the map is full.
         """
         if not self._map_sync.set_value(key, value):
             return False
@@ -246,15 +253,15 @@
         return True
 
     def leave(self) -> None:
-        """Give the lease up and leave the fleet: nothing is sent after the farewell."""
+        """Release the lease and leave the fleet; nothing is sent after `Leave`."""
         if self.state is AttachmentState.ATTACHED:
             self._actions.send(Leave())
         self._end("left")
 
     def lookup(self, key: str) -> int | None:
-        """Ask who owns a key of any region; the number that `LookupResult` will carry.
+        """Request the owner of a key of any region; return the number that its `LookupResult` will carry.
 
-        None: there is no session, or the key is too long.
+        Returns None without a session, or if the key is too long.
         """
         if self.state is not AttachmentState.ATTACHED or len(key) > MAX_LOOKUP_KEY_CHARACTERS:
             return None
@@ -264,26 +271,26 @@
 
     @property
     def roster(self) -> Roster | None:
-        """The newest roster of this relay's region."""
+        """The newest roster of this relay's region; None before the first one."""
         return self._history.roster
 
     @property
     def has_settled(self) -> bool:
-        """Whether the newest roster here is the settled one: no lease below it can hold."""
+        """Whether the newest known roster has settled: no lease under an older one can still be valid."""
         return self._history.has_settled
 
     def may_act(self, now: float) -> bool:
-        """Whether this relay holds a lease as a member of its region's roster, at this moment."""
+        """Whether this relay holds a lease and is a member of its region's roster, at this moment."""
         return self._lease.may_act(now)
 
     def owns(self, key: str, now: float) -> bool:
-        """Whether a key is this relay's alone at this moment."""
+        """Whether this relay is the only one that may act on a key at this moment."""
         if not self.may_act(now) or self.membership.home_region(key) != self.config.region:
             return False
         return self._history.is_owner(key)
 
     def owner(self, key: str) -> str | None:
-        """Find the owner of a key of this region by the newest roster; for other regions see `lookup`."""
+        """Return the owner of a key by the newest roster; None for other regions' keys, see `lookup`."""
         roster = self._history.roster
         if roster is None or self.membership.home_region(key) != self.config.region:
             return None
@@ -296,7 +303,7 @@
         return self.membership.member_counts(self._history.roster, idle_seconds, now)
 
     def status(self, now: float) -> AttachmentStatus:
-        """Collect what operators see."""
+        """Return the status for operators."""
         is_idle = self.state in (AttachmentState.WAITING, AttachmentState.LEFT)
         return AttachmentStatus(
             state=self.state,
@@ -313,10 +320,10 @@
             counters=dict(self.counters),
         )
 
-    # An upgrade: the old process exports and is silent from then on; the new one imports before it connects.
+    # Upgrade: the old process exports and then sends nothing more; the new one imports before it connects.
 
     def export_snapshot(self) -> AttachmentSnapshot:
-        """Collect what the new process needs; this one gives its lease up and sends nothing more."""
+        """Return the state for the new process; this one releases its lease and sends nothing more."""
         self._end("handed over")
         history = self._history
         return AttachmentSnapshot(
@@ -333,8 +340,8 @@
         )
 
     def import_snapshot(self, snapshot: AttachmentSnapshot, now: float) -> None:
-        """Go on as the run of the relay that the old process was, without its lease."""
-        self.relay = _relay_of(self.config, snapshot.instance)
+        """Continue the old process's run of the relay, without its lease."""
+        self.relay = _make_relay(self.config, snapshot.instance)
         self.attempt = snapshot.attempt
         roster = None
         if snapshot.version is not None:
@@ -353,5 +360,5 @@
         self._state_deadline = math.inf
 
 
-def _relay_of(config: AttachmentConfig, instance: int) -> Relay:
+def _make_relay(config: AttachmentConfig, instance: int) -> Relay:
     return Relay(config.name, instance, config.host, config.port, config.zone)
--- a/violetdoor/control/relay/control_selection.py
+++ b/violetdoor/control/relay/control_selection.py
@@ -1,8 +1,8 @@
-"""Which control machine a relay connects to, and when it tries one again.
+"""Which control machine a relay connects to, and when it retries one.
 
 Rendezvous hashing ranks the control machines of a region, differently for each relay, so that relays spread
-evenly. A relay prefers the first one; while it has its session elsewhere it tries to return there, with a
-delay that grows each time this fails. Times are seconds of the attachment's clock.
+evenly. A relay prefers the first in its ranking; while its session is at another one, it tries to return to
+the preferred one, with a delay that grows with each failed try. Times are seconds of the attachment's clock.
 """
 
 from __future__ import annotations
@@ -15,71 +15,72 @@
 from violetdoor.control.actions import Address
 from violetdoor.fleet.view import rendezvous_weight
 
-# Relays that lost one control machine spread their connections to the next one over this time.
+# Relays that lost the same control machine spread their connections to the next one over this time.
 MAX_SWITCH_DELAY_SECONDS = 0.1
-# Backoff of one control machine, doubled with each failure since its last session.
+# Backoff of one control machine: it doubles with each failure since the last session there.
 INITIAL_RETRY_DELAY_SECONDS = 0.25
 MAX_RETRY_DELAY_SECONDS = 4.0
-# Bound of the backoff's exponent: more doublings change nothing, and the power stays small.
+# Upper bound of the backoff's exponent: further doublings would exceed the maximum delay anyway, and the
+# bound keeps the power small.
 MAX_RETRY_DOUBLINGS = 16
-# Jitter of the backoff: a delay is drawn between this fraction of it and the whole.
+# Jitter of the backoff: the delay is drawn between this fraction of it and the full value.
 MIN_RETRY_DELAY_FRACTION = 0.5
-# Delay before the preferred control machine is tried in place of the present one, doubled each time that
-# this fails. Restarts of control machines so don't leave one of them without sessions.
+# Delay before a relay attached elsewhere tries its preferred control machine again, doubled with each failed
+# try. Returning keeps a restarted control machine from staying without sessions.
 INITIAL_RETURN_DELAY_SECONDS = 60.0
 MAX_RETURN_DELAY_SECONDS = 960.0
-# Jitter of that delay: it is drawn between this fraction of it and the same fraction over the whole.
+# Jitter of the return delay: the delay is multiplied by a factor between this fraction and 1 plus it.
 MIN_RETURN_DELAY_FRACTION = 0.5
 
 
 @dataclass(slots=True)
 class ControlCandidate:
-    """A control machine of the region, and from when on it may be tried."""
+    """A control machine of the region, and the state of its backoff."""
 
     address: Address
-    failures: int = 0  # since a session there was opened
-    retry_at: float = -math.inf
+    failures: int = 0  # since the last session there was opened
+    retry_at: float = -math.inf  # not to be tried before this time
 
 
 class ControlSelector:
-    """The ranked control machines of a region, with the backoff of each."""
+    """The ranked control machines of a region, each with its backoff."""
 
     def __init__(self, relay_name: str, addresses: Iterable[Address], random: Random) -> None:
-        """Rank the control machines for this relay; the draws of all delays come from `random`."""
+        """Rank the control machines for this relay; `random` is the source of all jitter."""
         self._random = random
         self._candidates = [
             ControlCandidate(address) for address in ranked_control_addresses(relay_name, addresses)
         ]
-        self.current = self._candidates[0]  # that has the session, or the attempt at one
-        self.return_at = math.inf  # when the preferred control machine is tried in place of the current one
-        self._previous: ControlCandidate | None = None  # that had the session before a return was tried
+        self.current = self._candidates[0]  # the one with the session, or with the attempt to open one
+        self.return_at = math.inf  # when to try the preferred control machine in place of the current one
+        self._previous: ControlCandidate | None = None  # had the session before a return was tried
         self._return_delay_seconds = INITIAL_RETURN_DELAY_SECONDS
 
     def draw_backoff_seconds(self) -> float:
-        """Count a failure of the current control machine, and draw the delay until it may be tried again."""
+        """Count a failure of the current control machine, and draw the delay until its next attempt."""
         candidate = self.current
         doublings = min(candidate.failures, MAX_RETRY_DOUBLINGS)
-        longest = min(MAX_RETRY_DELAY_SECONDS, INITIAL_RETRY_DELAY_SECONDS * 2.0**doublings)
+        full_delay_seconds = min(MAX_RETRY_DELAY_SECONDS, INITIAL_RETRY_DELAY_SECONDS * 2.0**doublings)
         candidate.failures += 1
-        return longest * (MIN_RETRY_DELAY_FRACTION + self._random.random() / 2)
+        return full_delay_seconds * (MIN_RETRY_DELAY_FRACTION + self._random.random() / 2)
 
     def postpone_current(self, retry_after_seconds: float, now: float) -> None:
-        """Leave the current control machine alone for a time."""
+        """Don't try the current control machine again for `retry_after_seconds`."""
         self.current.retry_at = now + retry_after_seconds
 
-    def draw_next_attempt_at(self, now: float, spread_seconds: float) -> float:
-        """Draw when to connect next: once a candidate may be tried, spread over a time."""
-        return max(now, self.next_retry_at) + self._random.random() * spread_seconds
+    def draw_next_attempt_at(self, now: float, max_jitter_seconds: float) -> float:
+        """Draw the time of the next attempt: once a candidate may be tried, plus a random delay."""
+        return max(now, self.next_retry_at) + self._random.random() * max_jitter_seconds
 
     @property
     def next_retry_at(self) -> float:
-        """When the first of the candidates may be tried."""
+        """The earliest time at which a candidate may be tried."""
         return min(candidate.retry_at for candidate in self._candidates)
 
     def select(self, now: float) -> bool:
-        """Make the best candidate that may be tried the current one; False where there is none yet.
+        """Make the best candidate that may be tried the current one; return False if there is none yet.
 
-        After a return to the preferred control machine that failed, the best one is where the session was.
+        After a failed return to the preferred control machine, the best one is where the session was before.
         """
         available = [candidate for candidate in self._candidates if candidate.retry_at <= now]
         if not available:
@@ -93,7 +94,7 @@
         return True
 
     def session_opened(self, now: float) -> None:
-        """Forget the failures of the current control machine, and plan the return to the preferred one."""
+        """Reset the failures of the current control machine, and schedule a return to the preferred one."""
         self.current.failures = 0
         if self.current is self._candidates[0]:
             self.return_at = math.inf
@@ -104,13 +105,13 @@
         self._return_delay_seconds = min(MAX_RETURN_DELAY_SECONDS, 2 * self._return_delay_seconds)
 
     def return_to_preferred(self, previous: ControlCandidate) -> None:
-        """Make the preferred control machine the current one; `previous` is tried again if that fails."""
+        """Make the preferred control machine the current one; if it fails, `previous` is selected next."""
         self._previous = previous
         self.current = self._candidates[0]
 
 
 def ranked_control_addresses(relay_name: str, addresses: Iterable[Address]) -> list[Address]:
-    """Order control machines as a relay prefers them, by rendezvous hashing."""
+    """Return control machines in a relay's order of preference, by rendezvous hashing."""
     return sorted(
         addresses,
         key=lambda address: (rendezvous_weight(relay_name, f"{address[0]}:{address[1]}"), address),
--- a/violetdoor/control/relay/session.py
+++ b/violetdoor/control/relay/session.py
@@ -1,4 +1,4 @@
-"""An open session at a control machine: heartbeats, and what the control machine sends on it."""
+"""An open session at a control machine: it sends heartbeats and handles the control machine's messages."""
 
 from __future__ import annotations
 
@@ -23,41 +23,41 @@
 from violetdoor.control.relay.actions import ActionQueue, LookupResult
 from violetdoor.control.relay.lease import Lease
 from violetdoor.control.relay.replicated_state import ReplicatedState
-from violetdoor.control.relay.status import SessionEnd
+from violetdoor.control.relay.status import SessionFailure
 from violetdoor.control.roster import SnapshotAssembler
 
-# A session without a lease is given up after this time: a new leader, and a lease under the one before it,
-# take up to 6 s.
+# A session in which no lease was granted for this time is closed: electing a new leader and waiting for the
+# leases under the previous one takes up to 6 s.
 LEASE_TIMEOUT_SECONDS = 8.0
-# A heartbeat that is later than this shows that the relay's process was stopped: it can't judge for how long
-# the other side was silent.
+# A heartbeat that is later than this shows that the relay's process was paused, so it can't tell how long the
+# control machine has sent nothing.
 PROCESS_PAUSE_THRESHOLD_SECONDS = 0.5
 
 
 class SessionProtocolError(ValueError):
-    """The control machine broke the protocol of a session."""
+    """The control machine violated the protocol of a session."""
 
 
 class UnexpectedMessageError(SessionProtocolError):
-    """A message that does not belong into an open session."""
+    """A message arrived that is not valid in an open session."""
 
     def __init__(self, message: SessionResponse) -> None:
-        """Keep the message that came."""
-        super().__init__(f"{type(message).__name__} in a session that is open")
+        """Keep the unexpected message."""
+        super().__init__(f"unexpected {type(message).__name__} message in an open session")
         self.message = message
 
 
 class StaleRosterError(SessionProtocolError):
-    """A complete roster that is older than the newest that is known."""
+    """A complete roster arrived that is older than the newest known one."""
 
     def __init__(self, version: Version) -> None:
-        """Keep the version of the roster that came."""
-        super().__init__(f"roster {version} is older than the newest that is known")
+        """Keep the version of the roster that arrived."""
+        super().__init__(f"received roster {version}, which is older than the newest known one")
         self.version = version
 
 
 class Session:
-    """What lasts for one session; it is opened again for the next one. Times as in the attachment."""
+    """The state of one session, reset when the next one opens. Times are in the attachment's clock."""
 
     def __init__(
         self,
@@ -67,8 +67,8 @@
         counters: Counter[str],
         random: Random,
     ) -> None:
-        """Begin closed; what the control machine sends goes into `state`."""
-        self.control_name: str | None = None  # of the control machine, while the session is open
+        """Start closed; the control machine's messages update `state`."""
+        self.control_name: str | None = None  # name of the control machine; None while the session is closed
         self.last_received_at = -math.inf
         self._history = state.history
         self._membership = state.membership
@@ -77,15 +77,15 @@
         self._actions = actions
         self._counters = counters
         self._random = random
-        self._last_leased_at = -math.inf  # when a lease was granted last, or the session was opened
+        self._last_leased_at = -math.inf  # when the last lease was granted, or the session was opened
         self._next_heartbeat_at = math.inf
         self._heartbeat_interval_seconds = math.inf
         self._idle_timeout_seconds = math.inf
         self._snapshot = SnapshotAssembler()
-        self._is_resyncing = False  # deltas are ignored until a complete roster comes
+        self._is_resyncing = False  # deltas are ignored until a complete roster arrives
 
     def open(self, welcome: Welcome, now: float) -> None:
-        """Begin the session with what was not confirmed in the one before, and a heartbeat."""
+        """Open the session: send the entries not confirmed before, and a heartbeat."""
         self.control_name = welcome.control
         self.last_received_at = now
         self._last_leased_at = now
@@ -96,12 +96,13 @@
         self._lease.forget_heartbeats()
         self._membership.set_regions(welcome.regions)
         self.send_entries(self._map_sync.begin_session())
-        # At once, as a lease may be near its end; from then on at a time of its own in each interval.
+        # The first heartbeat is sent at once, as the lease may expire soon; the later ones at a random offset
+        # in the interval, which spreads the relays' heartbeats.
         self.send_heartbeat(now)
         self._next_heartbeat_at = now + welcome.heartbeat_interval_seconds * self._random.random()
 
     def close(self) -> None:
-        """End the session; what was not confirmed in it is sent again in the next one."""
+        """Close the session; the entries that were not confirmed in it are sent again in the next one."""
         self.control_name = None
         self._next_heartbeat_at = math.inf
         self._lease.forget_heartbeats()
@@ -109,23 +110,23 @@
 
     @property
     def next_wake_at(self) -> float:
-        """When `check_timeouts` and `send_due_heartbeat` are to be called, while the session is open."""
+        """When `check_timeouts` and `send_due_heartbeat` must be called next, while the session is open."""
         return min(
             self._next_heartbeat_at,
             self.last_received_at + self._idle_timeout_seconds,
             self._last_leased_at + LEASE_TIMEOUT_SECONDS,
         )
 
-    def check_timeouts(self, now: float) -> SessionEnd | None:
-        """Why the session is to be given up now; None where it goes on."""
+    def check_timeouts(self, now: float) -> SessionFailure | None:
+        """Return why the session has failed by now; None if it has not."""
         if now > self._next_heartbeat_at + PROCESS_PAUSE_THRESHOLD_SECONDS:
-            # What the control machine sent while this process was stopped still waits at the socket.
+            # Messages that arrived while this process was paused are still unread in the socket.
             self.last_received_at = now
             self._last_leased_at = now
         if now >= self.last_received_at + self._idle_timeout_seconds:
-            return SessionEnd.UNRESPONSIVE
+            return SessionFailure.UNRESPONSIVE
         if now >= self._last_leased_at + LEASE_TIMEOUT_SECONDS:
-            return SessionEnd.NO_LEASE
+            return SessionFailure.NO_LEASE
         return None
 
     def send_due_heartbeat(self, now: float) -> None:
@@ -134,18 +135,18 @@
             self.send_heartbeat(now)
 
     def send_heartbeat(self, now: float) -> None:
-        """Ask for a lease from now on."""
+        """Request a lease that starts now."""
         self._next_heartbeat_at = now + self._heartbeat_interval_seconds
         number = self._lease.record_heartbeat(now)
         self._actions.send(Heartbeat(number, self._history.version))
 
     def send_entries(self, keys: list[str]) -> None:
-        """Send entries of the shared map; the next heartbeat's acknowledgement confirms them."""
-        for message in self._map_sync.messages_for(keys, self._lease.last_heartbeat + 1):
+        """Send entries of the shared map; the acknowledgement of the next heartbeat confirms them."""
+        for message in self._map_sync.messages_for(keys, self._lease.last_heartbeat_number + 1):
             self._actions.send(message)
 
     def handle_message(self, message: SessionResponse, now: float) -> None:
-        """Learn from a message; SessionProtocolError, or another ValueError, where it does not fit."""
+        """Handle a message. Raises SessionProtocolError, or another ValueError, if it is invalid."""
         match message:
             case SnapshotChunk():
                 self._handle_snapshot_chunk(message)
@@ -184,7 +185,7 @@
             self._actions.send(Resync())
 
     def _handle_heartbeat_ack(self, ack: HeartbeatAck, now: float) -> None:
-        """Extend the lease from when the heartbeat was sent, if its roster is known here."""
+        """Extend the lease, counted from its heartbeat's send time, if the roster it names is known here."""
         heartbeat_sent_at = self._lease.acknowledge(ack.number)
         if heartbeat_sent_at is None:
             return
--- a/violetdoor/control/relay/status.py
+++ b/violetdoor/control/relay/status.py
@@ -1,4 +1,4 @@
-"""How far a relay's session is, and what operators see of it."""
+"""The state of a relay's session, and its status for operators."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AttachmentState(Enum):
-    """How far the session is; the value is what the console shows."""
+    """The phase of the session; the console shows the value."""
 
     WAITING = "waiting"
     CONNECTING = "connecting"
@@ -21,8 +21,8 @@
     LEFT = "left"
 
 
-class SessionEnd(Enum):
-    """Why a session, or the attempt at one, ended; the value is part of its counter, `lost_...`."""
+class SessionFailure(Enum):
+    """Why a session or an attempt to open one failed; the value is part of the counter name `lost_...`."""
 
     CONNECTION_REFUSED = "refused"
     CONNECTION_CLOSED = "closed"
@@ -34,19 +34,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AttachmentStatus:
-    """What operators see of a relay's session."""
+    """The status of a relay's session for operators."""
 
     state: AttachmentState
-    control_name: str | None  # of the session's control machine
-    control_address: Address | None  # of the control machine that is tried, or attached to
+    control_name: str | None  # of the session's control machine; None without a session
+    control_address: Address | None  # of the control machine of the session or attempt; None without either
     attempt: int
     version: Version | None
     settled: Version | None
     member_counts: FleetMemberCounts
     may_act: bool
     lease_remaining_seconds: float
-    idle_seconds: float  # since the control machine was last heard; infinite: never
-    rejection_reason: str | None  # of the last attach that was rejected
-    counters: Mapping[
-        str, int
-    ]  # `connects`, `attaches`, `refused_WHY`, `lost_WHY`, `snapshots`, `deltas`, ...
+    idle_seconds: float  # since the last message of a control machine; infinite before the first
+    rejection_reason: str | None  # of the last rejected attach; None once a session was opened after it
+    # `connects`, `attaches`, `refused_WHY`, `lost_WHY`, `snapshots`, `deltas`, ...
+    counters: Mapping[str, int]
