--- a/violetdoor/control/relay/membership.py
+++ b/violetdoor/control/relay/membership.py
@@ -1,4 +1,4 @@
-"""Who is alive in which region, as far as a relay knows, and which region a key belongs to."""
+"""The relays alive in each region, as far as known to one relay, and the region that a key belongs to."""
 
 from __future__ import annotations
 
@@ -10,60 +10,60 @@
 from violetdoor.control.messages import RegionCount, ZoneCount
 from violetdoor.control.roster import Roster, home_region
 
-MAX_CACHED_HOME_REGIONS = 4096  # keys whose home region is cached: some hundred KB at the most
+MAX_CACHED_HOME_REGIONS = 4096  # keys whose home region is cached: at most some hundred KB
 
 
 @dataclass(frozen=True, slots=True)
 class RegionMemberCounts:
-    """How many relays are alive in one region, and how old that knowledge is (0: current)."""
+    """The number of relays alive in one region."""
 
     total: int
-    zones: Mapping[str, int]
-    age_seconds: float
+    zones: Mapping[str, int]  # by zone
+    age_seconds: float  # of these counts; 0: current
 
 
 @dataclass(frozen=True, slots=True)
 class FleetMemberCounts:
-    """How many relays are alive, as far as is known here."""
+    """The number of relays alive in all regions, as far as known to this relay."""
 
     total: int
     by_region: Mapping[str, RegionMemberCounts]
     by_zone: Mapping[str, int]
-    age_seconds: float  # of the oldest part of it; infinite where nothing is known
+    age_seconds: float  # of the oldest region's counts; infinite if none is known
 
 
 class FleetMembership:
-    """The regions of the fleet and the counts of the relays alive in them."""
+    """The regions of the fleet, and the counts of the relays alive in them."""
 
     def __init__(self, own_region: str) -> None:
-        """Begin without any knowledge."""
+        """Start without regions and counts."""
         self.own_region = own_region
-        self.regions: tuple[str, ...] = ()  # of the complete fleet, in the order of their names
-        self.region_counts: dict[str, RegionCount] = {}  # of other regions
-        self._received_at: dict[str, float] = {}  # by region
-        self._home_regions: dict[str, str | None] = {}  # by key
+        self.regions: tuple[str, ...] = ()  # all regions of the fleet, sorted by name
+        self.region_counts: dict[str, RegionCount] = {}  # of other regions, by region
+        self._received_at: dict[str, float] = {}  # when the counts were received, by region
+        self._home_regions: dict[str, str | None] = {}  # cache of `home_region`, by key
 
     def set_regions(self, regions: tuple[str, ...]) -> None:
-        """Learn the names of all regions; keys have new homes where these have changed."""
+        """Set the names of all regions; if they changed, keys may belong to other regions."""
         if self.regions != regions:
             self.regions = regions
             self._home_regions.clear()
 
     def update(self, counts: Iterable[RegionCount], now: float) -> None:
-        """Learn the counts of other regions."""
+        """Store the counts of other regions."""
         for count in counts:
             self.region_counts[count.region] = count
             self._received_at[count.region] = now
 
     def restore(self, regions: tuple[str, ...], counts: Iterable[RegionCount], now: float) -> None:
-        """Go on with what the process before this one knew."""
+        """Restore the state of the predecessor process."""
         self.regions = regions
         self.region_counts = {count.region: count for count in counts}
         self._received_at = dict.fromkeys(self.region_counts, now)
         self._home_regions.clear()
 
     def home_region(self, key: str) -> str | None:
-        """Find the region that a key belongs to; None before the regions are known."""
+        """Return the region that a key belongs to; None before the regions are known."""
         if key not in self._home_regions:
             if len(self._home_regions) >= MAX_CACHED_HOME_REGIONS:
                 self._home_regions.clear()
@@ -71,9 +71,9 @@
         return self._home_regions[key]
 
     def member_counts(self, roster: Roster | None, idle_seconds: float, now: float) -> FleetMemberCounts:
-        """Count the relays alive in all regions, those of the own one by its newest roster.
+        """Count the relays alive in all regions; `roster` is the newest one of this relay's region.
 
-        `idle_seconds`: for which no control machine was heard; 0 while a session is open.
+        `idle_seconds`: time since the last message of a control machine; 0 while a session is open.
         """
         by_region = {
             region: self._region_member_counts(count, idle_seconds, now)
@@ -92,7 +92,7 @@
         self, count: RegionCount, idle_seconds: float, now: float
     ) -> RegionMemberCounts:
         age_seconds = count.age_seconds
-        if age_seconds > 0:  # the control machine doesn't follow that region at present
+        if age_seconds > 0:  # the control machine had lost its session at that region
             age_seconds += now - self._received_at[count.region]
         return _member_counts(count.zones, max(age_seconds, idle_seconds))
 
