--- a/violetdoor/control/relay/roster_history.py
+++ b/violetdoor/control/relay/roster_history.py
@@ -1,8 +1,9 @@
-"""What a relay knows of its region's roster: the newest one, and all that may still act under older ones.
+"""A relay's copy of its region's roster: the newest one, and the relays that may still act under older ones.
 
-A relay acts on a key only where it is the key's owner in every roster from the settled one to the newest.
-Rendezvous hashing makes that one comparison: it outranks all members, and all that have departed since the
-settled roster. Where a complete roster came, what was before it is not known, and it has to settle first.
+A relay acts on a key only if it owns the key in every roster from the settled one to the newest. With
+rendezvous hashing this is one comparison: the relay must outrank all members, and all relays that departed
+since the settled roster. After a complete roster arrives, the rosters before it are unknown, so the relay
+owns nothing until that roster has settled.
 """
 
 from __future__ import annotations
@@ -17,29 +18,29 @@
 from violetdoor.control.roster import Roster, relay_key
 from violetdoor.fleet.view import rendezvous_weight
 
-# Tombstones beyond this number are dropped: the newest roster then has to settle first.
+# With more tombstones than this all are dropped, and the relay owns nothing until the newest roster settles.
 MAX_TOMBSTONES = 2048
-# Keys whose answer is cached until the roster changes.
+# Keys whose ownership is cached until the roster changes.
 MAX_CACHED_KEYS = 1024
 
 
 class Tombstone(Struct, frozen=True, array_like=True):
-    """A relay that has departed and may still act."""
+    """A relay that has departed but may still hold a lease and act."""
 
     relay: RelayKey
     departed_version: Version  # the first roster without it
 
 
 class RosterHistory:
-    """The rosters from the settled one to the newest, as seen by one run of a relay."""
+    """The rosters from the settled one to the newest, as known to one run of a relay."""
 
     def __init__(self, own_key: RelayKey) -> None:
-        """Begin without a roster; `own_key` names this run of the relay."""
+        """Start without a roster; `own_key` identifies this run of the relay."""
         self.own_key = own_key
         self.roster: Roster | None = None  # the newest one
-        # No roster before this one is known, or this relay is not in it.
+        # Older rosters than this are unknown, or don't contain this relay.
         self.complete_since: Version | None = None
-        self.settled: Version | None = None  # no lease below this roster can hold any more
+        self.settled: Version | None = None  # no lease under an older roster can still be valid
         self.tombstones: deque[Tombstone] = deque()  # in the order of their versions
         self._ownership_cache: dict[str, bool] = {}  # by key
 
@@ -51,7 +52,7 @@
         settled: Version | None,
         tombstones: Iterable[Tombstone],
     ) -> None:
-        """Go on with what the process before this one of the same run knew."""
+        """Restore the state of the predecessor process of the same run."""
         self.own_key = own_key
         self.roster = roster
         self.complete_since = complete_since
@@ -61,7 +62,7 @@
 
     @property
     def version(self) -> Version | None:
-        """The version of the newest roster."""
+        """The version of the newest roster; None before the first one."""
         return None if self.roster is None else self.roster.version
 
     @property
@@ -75,18 +76,18 @@
         return self.version is not None and self.settled == self.version
 
     def includes(self, version: Version | None) -> bool:
-        """Whether the newest roster is this one or follows it."""
+        """Whether the newest roster is at `version`, or at a later one of the same epoch."""
         newest = self.version
         if version is None or newest is None:
             return False
         return newest.epoch == version.epoch and newest >= version
 
     def members(self) -> tuple[Relay, ...]:
-        """All relays of the newest roster."""
+        """Return all relays of the newest roster."""
         return () if self.roster is None else tuple(self.roster.members.values())
 
     def replace(self, roster: Roster) -> bool:
-        """Go on from a complete roster; False, and nothing changed, where it is older than the newest."""
+        """Replace the newest roster by a complete one; return False, and change nothing, if that is older."""
         version = self.version
         if version is not None and is_newer_in_epoch(version, roster.version):
             return False
@@ -99,11 +100,11 @@
         return True
 
     def apply(self, delta: Delta) -> bool:
-        """Go on by a delta; False where it doesn't follow the newest roster."""
+        """Apply a delta; return False if it doesn't follow the newest roster."""
         if self.roster is None:
             return False
         if not is_newer_in_epoch(delta.version, self.roster.version):
-            return delta.version.epoch == self.roster.version.epoch  # it was applied before
+            return delta.version.epoch == self.roster.version.epoch  # already applied
         if not self.roster.apply(delta):
             return False
         self.tombstones.extend(Tombstone(relay, delta.version) for relay in delta.departed)
@@ -115,7 +116,7 @@
         return True
 
     def settle(self, version: Version | None) -> None:
-        """Learn that no lease below this roster can hold any more, where the roster is known here."""
+        """Mark a roster as settled, if it is known here: no lease under an older one can still be valid."""
         if version is None or not self.includes(version):
             return
         if self.settled is not None and self.settled >= version:
@@ -126,13 +127,13 @@
         self._ownership_cache.clear()
 
     def _drop_earlier_rosters(self) -> None:
-        """Count nothing before the newest roster as known."""
+        """Treat all rosters before the newest one as unknown."""
         self.complete_since = self.version
         self.tombstones.clear()
         self._ownership_cache.clear()
 
     def is_owner(self, key: str) -> bool:
-        """Whether this relay owns a key of its region in every roster in which another could still act."""
+        """Whether this relay owns a key of its region in every roster under which a relay may still act."""
         if self.settled is None or self.complete_since is None:
             return False
         if self.settled < self.complete_since or not self.is_member:
@@ -144,7 +145,7 @@
         return self._ownership_cache[key]
 
     def _outranks_all(self, key: str) -> bool:
-        """Whether this relay ranks before all members and all tombstones, by rendezvous hashing."""
+        """Whether rendezvous hashing ranks this relay above all members and all departed relays kept here."""
         own_name = self.own_key.name
         if self.roster is None or self.roster.owner(key) != own_name:
             return False
