--- a/violetdoor/control/relay/shared_map_sync.py
+++ b/violetdoor/control/relay/shared_map_sync.py
@@ -1,7 +1,8 @@
-"""A relay's copy of the shared map, kept in step with the control group's.
+"""Synchronizes a relay's copy of the shared map with the control group's.
 
-A value that is set here is sent until a control machine has acknowledged a heartbeat that was sent after
-it. What the group lacks once it has sent its complete map is sent as well, so the map outlives the group.
+A value that is set here is sent again in each session until a control machine acknowledges a heartbeat that
+was sent after it. Once the group has sent its complete map, the entries that it lacks are sent back, so that
+the map survives the loss of the group.
 """
 
 from __future__ import annotations
@@ -12,38 +13,39 @@
 from violetdoor.fleet.messages import MapEntry
 from violetdoor.fleet.shared_map import SharedMap
 
-# The map sends nothing by itself here, so it is told that nobody is to be gossiped to but this relay.
-MAP_MEMBERS = 1
+# Number of members for which the shared map plans its gossip: this relay alone, as the map itself sends
+# nothing here.
+GOSSIP_MEMBER_COUNT = 1
 
 
 class SharedMapSync:
-    """Which entries of the shared map are still to be sent or confirmed."""
+    """Tracks which entries of the shared map still have to be sent or confirmed."""
 
     def __init__(self, shared_map: SharedMap, unix_time_ms: Callable[[], float]) -> None:
-        """Keep `shared_map` in step; its entries are stamped by `unix_time_ms`."""
+        """Synchronize `shared_map`; `unix_time_ms` gives the time for the timestamps of its entries."""
         self.shared_map = shared_map
         self._unix_time_ms = unix_time_ms
-        # Keys to be sent, and those sent with the heartbeat whose acknowledgement confirms them.
+        # Unconfirmed keys, with the number of the heartbeat that confirms each; None: to be sent.
         self._unconfirmed: dict[str, int | None] = {}
-        self._received: dict[str, MapEntry] = {}  # while the control machine sends its complete map
+        self._received: dict[str, MapEntry] = {}  # received so far of the control machine's complete map
 
     def set_value(self, key: str, value: float | None) -> bool:
-        """Set a value here; False where the key is too long or the map is full."""
+        """Set a value; return False if the key is too long or the map is full."""
         if len(key.encode()) > MAX_ENTRY_KEY_BYTES:
             return False
-        if not self.shared_map.put(key, value, self._unix_time_ms(), MAP_MEMBERS):
+        if not self.shared_map.put(key, value, self._unix_time_ms(), GOSSIP_MEMBER_COUNT):
             return False
         self._unconfirmed[key] = None
         return True
 
     def merge(self, entries: Iterable[MapEntry]) -> None:
-        """Merge entries of another process or relay."""
-        self.shared_map.merge(entries, self._unix_time_ms(), MAP_MEMBERS)
+        """Merge entries that come from another process or relay."""
+        self.shared_map.merge(entries, self._unix_time_ms(), GOSSIP_MEMBER_COUNT)
 
     def receive(self, message: Entries) -> list[str] | None:
-        """Merge what the control machine sent; once that was complete, the keys which it lacks.
+        """Merge a control machine's entries; after the last ones, return the keys whose entries it lacks.
 
-        Those were lost with the group, or were set while no session was open.
+        Those were lost with the group, or were set while no session was open. Returns None before the last.
         """
         self.merge(message.entries)
         self._received |= {entry.key: entry for entry in message.entries}
@@ -58,16 +60,16 @@
         ]
 
     def begin_session(self) -> list[str]:
-        """Begin a new session; the keys that are to be sent in it."""
+        """Start a new session; return the keys to send in it."""
         self._received = {}
         return list(self._unconfirmed)
 
     def end_session(self) -> None:
-        """Send again in the next session what was not confirmed in this one."""
+        """Mark the keys that were not confirmed in this session to be sent again in the next one."""
         self._unconfirmed = dict.fromkeys(self._unconfirmed)
 
     def messages_for(self, keys: Sequence[str], confirming_heartbeat: int) -> list[PutEntries]:
-        """Make the messages that send entries; `confirming_heartbeat` is the next one to be sent."""
+        """Return messages with the entries of `keys`, which heartbeat `confirming_heartbeat` will confirm."""
         entries = self.shared_map.entries
         to_send = [entries[key] for key in keys if key in entries]
         self._unconfirmed |= dict.fromkeys(keys, confirming_heartbeat)
@@ -77,7 +79,7 @@
         ]
 
     def confirm(self, heartbeat: int) -> None:
-        """Count as confirmed what was sent before a heartbeat that is acknowledged now."""
+        """Mark the keys as confirmed that were sent before this acknowledged heartbeat."""
         self._unconfirmed = {
             key: number for key, number in self._unconfirmed.items() if number is None or number > heartbeat
         }
