--- a/tests/test_control_connection.py
+++ b/tests/test_control_connection.py
@@ -1,4 +1,4 @@
-"""Sealed frames and their connections: frames arrive as they were sent, and what ends a connection instead."""
+"""Signed frames and their connections: frames arrive as sent; invalid bytes or a stall end a connection."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from standins import PATIENCE, until
 
 from violetdoor.control import connection as connection_module
-from violetdoor.control.connection import Connection, start_accepted
+from violetdoor.control.connection import Connection, attach_accepted_socket
 from violetdoor.control.dialer import Dialer
 from violetdoor.control.frames import CloseReason, FrameCodec, FrameError, Side
 from violetdoor.control.messages import (
@@ -39,13 +39,13 @@
 KEY = b"0123456789abcdef0123456789abcdef"
 OTHER_KEY = b"another key of the same length.."
 NONCE_BYTES = 16
-BURST = 1000  # messages that are sent in one round of the loop
+BURST = 1000  # messages sent in one iteration of the event loop
 
 Parameters = ParamSpec("Parameters")
 
 
 def on_both_loops(test: Callable[Parameters, Awaitable[None]]) -> Callable[Parameters, None]:
-    """Run a test's coroutine on both loops: that of tests and tools, and the program's."""
+    """Run a test's coroutine on asyncio's event loop, as tests and tools do, and on uvloop, as the program."""
 
     @functools.wraps(test)
     def run(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
@@ -60,7 +60,7 @@
 
 
 def codec_pair(client_key: bytes = KEY) -> tuple[FrameCodec, FrameCodec]:
-    """Make both sides of a connection, client first, whose nonces were exchanged."""
+    """Return both sides of a connection, client first, after the exchange of nonces."""
     client = FrameCodec(MessageAuthenticator(client_key), Side.CLIENT)
     server = FrameCodec(MessageAuthenticator(KEY), Side.SERVER)
     assert not list(client.feed(server.nonce))
@@ -69,7 +69,7 @@
 
 
 def rejection_of(codec: FrameCodec, data: bytes) -> CloseReason:
-    """Feed bytes that are to be rejected; why they are."""
+    """Feed bytes that must be rejected, and return the reason."""
     with pytest.raises(FrameError) as error:
         list(codec.feed(data))
     return error.value.reason
@@ -94,7 +94,7 @@
     stream[changed] ^= change
     received: list[bytes] = []
     with contextlib.suppress(FrameError):
-        received.extend(server.feed(bytes(stream)))  # a longer length than before: it waits for more
+        received.extend(server.feed(bytes(stream)))  # no error if the changed length is longer: incomplete
     assert received in ([], [b"a heartbeat"])
     assert received == [] or changed >= len(stream) // 2
 
@@ -103,32 +103,32 @@
     client, server = codec_pair()
     frame = client.encode_frame(b"first")
     assert list(server.feed(frame)) == [b"first"]
-    assert rejection_of(server, frame) is CloseReason.SEAL
+    assert rejection_of(server, frame) is CloseReason.INVALID_TAG
 
 
 def test_a_reordered_or_omitted_frame_and_one_of_another_connection_are_rejected() -> None:
     client, server = codec_pair()
     first = client.encode_frame(b"first")
     second = client.encode_frame(b"second")
-    assert rejection_of(server, second + first) is CloseReason.SEAL
+    assert rejection_of(server, second + first) is CloseReason.INVALID_TAG
     _, other_server = codec_pair()
-    assert rejection_of(other_server, first) is CloseReason.SEAL
+    assert rejection_of(other_server, first) is CloseReason.INVALID_TAG
 
 
 def test_a_reflected_frame_is_rejected() -> None:
     client, _ = codec_pair()
-    assert rejection_of(client, client.encode_frame(b"mine")) is CloseReason.SEAL
+    assert rejection_of(client, client.encode_frame(b"mine")) is CloseReason.INVALID_TAG
 
 
 def test_a_frame_under_another_key_is_rejected() -> None:
     client, server = codec_pair(OTHER_KEY)
-    assert rejection_of(server, client.encode_frame(b"foreign")) is CloseReason.SEAL
+    assert rejection_of(server, client.encode_frame(b"foreign")) is CloseReason.INVALID_TAG
 
 
 @pytest.mark.parametrize("length", [0, TAG_BYTES, MAX_FRAME_BYTES + 1, 0xFFFFFFFF])
 def test_an_invalid_length_is_rejected_before_anything_is_buffered(length: int) -> None:
     _, server = codec_pair()
-    assert rejection_of(server, length.to_bytes(4, "big")) is CloseReason.LENGTH
+    assert rejection_of(server, length.to_bytes(4, "big")) is CloseReason.INVALID_LENGTH
 
 
 def test_the_longest_frame_is_accepted_and_a_longer_one_is_not_made() -> None:
@@ -140,25 +140,25 @@
 
 
 class InjectedFaultError(Exception):
-    """A fault of the handler that a test asked for."""
+    """A failure of the handler that a test has requested."""
 
 
 @dataclass
 class RecordingHandler:
-    """A handler of connections and of a dialer that records what it is called with."""
+    """A handler of connections and of a dialer that records its calls."""
 
     opened: list[Any] = field(default_factory=list)
     messages: list[Any] = field(default_factory=list)
     backlogs: list[int] = field(default_factory=list)
     close_reasons: list[CloseReason] = field(default_factory=list)
     failures: list[bool] = field(default_factory=list)
-    fails: bool = False
+    raises_on_message: bool = False
 
     def connection_opened(self, connection: Any) -> None:
         self.opened.append(connection)
 
     def message_received(self, _connection: Any, message: Any) -> None:
-        if self.fails:
+        if self.raises_on_message:
             raise InjectedFaultError
         self.messages.append(message)
 
@@ -173,7 +173,7 @@
 
 
 class Server:
-    """A socket whose connections are served with sealed frames."""
+    """A listening socket whose connections are served with signed frames."""
 
     def __init__(self) -> None:
         self.sock = listen(("127.0.0.1", 0))
@@ -189,12 +189,12 @@
                 MessageAuthenticator(KEY), Side.SERVER, session_request_decoder, self.handler, self.counters
             )
             self.connections.append(connection)
-            await start_accepted(sock, connection)
+            await attach_accepted_socket(sock, connection)
 
 
 @contextlib.asynccontextmanager
 async def running_server() -> AsyncIterator[Server]:
-    """Serve until the block ends."""
+    """Run a server until the block ends."""
     server = Server()
     task = asyncio.create_task(server.accept())
     try:
@@ -219,7 +219,7 @@
 
 
 async def send_raw(server: Server, data: bytes) -> None:
-    """Send bytes without a handshake; the server closes the connection and answers no more than its nonce."""
+    """Send bytes without a handshake; the server sends nothing but its nonce and closes the connection."""
     reader, writer = await asyncio.open_connection(*server.address)
     writer.write(data)
     with contextlib.suppress(ConnectionError):
@@ -235,33 +235,33 @@
             dialer.send(Heartbeat(number, None))
         await until(lambda: len(server.handler.messages) == BURST)
         assert [message.number for message in server.handler.messages] == list(range(BURST))
-        assert dialer.counters["writes"] == 1  # of one round of the loop
+        assert dialer.counters["writes"] == 1  # one iteration of the event loop
         (connection,) = server.handler.opened
         connection.send(GoAway(1.0))
         connection.close()
-        assert server.handler.close_reasons == [CloseReason.HERE]
-        dialer.send(Leave())  # unread at the other side: the last message arrives all the same
+        assert server.handler.close_reasons == [CloseReason.CLOSED_LOCALLY]
+        dialer.send(Leave())  # the server doesn't read it; its own last message must arrive nevertheless
         await until(lambda: handler.close_reasons)
         assert handler.messages == [GoAway(1.0)]
-        assert handler.close_reasons == [CloseReason.PEER]
-        connection.send(GoAway(2.0))  # to nobody
+        assert handler.close_reasons == [CloseReason.CLOSED_BY_PEER]
+        connection.send(GoAway(2.0))  # ignored after the close
 
 
 @on_both_loops
 async def test_invalid_bytes_end_their_connection_alone_and_are_counted() -> None:
     async with running_server() as server:
         dialer, handler = await connected_dialer(server)
-        foreign, _ = await connected_dialer(server, OTHER_KEY)
-        foreign.send(Heartbeat(1, None))
+        other_key_dialer, _ = await connected_dialer(server, OTHER_KEY)
+        other_key_dialer.send(Heartbeat(1, None))
         await until(lambda: server.counters["dropped_seal"] == 1)
 
-        def dropped() -> int:
+        def dropped_frames() -> int:
             return server.counters["dropped_length"] + server.counters["dropped_seal"]
 
         await send_raw(server, b"x" * NONCE_BYTES + b"\xff\xff\xff\xff")
-        await until(lambda: dropped() == 1 + 1)
+        await until(lambda: dropped_frames() == 1 + 1)
         await send_raw(server, b"x" * NONCE_BYTES + b"\0\0\0\x20" + b"y" * 32)
-        await until(lambda: dropped() == 1 + 2)
+        await until(lambda: dropped_frames() == 1 + 2)
 
         codec = FrameCodec(MessageAuthenticator(KEY), Side.CLIENT)
         reader, writer = await asyncio.open_connection(*server.address)
@@ -269,7 +269,7 @@
         writer.write(codec.nonce + codec.encode_frame(b"\x93 no message"))
         await until(lambda: server.counters["dropped_form"] == 1)
         writer.close()
-        assert not server.handler.opened  # none of these was ever a session
+        assert not server.handler.opened  # none of these connections became a session
         dialer.send(Heartbeat(2, None))
         await until(lambda: server.handler.messages)
         assert not handler.close_reasons
@@ -282,7 +282,7 @@
         reader, writer = await asyncio.open_connection(*server.address)
         with contextlib.suppress(ConnectionError):
             assert len(await reader.read()) == NONCE_BYTES
-        assert server.handler.close_reasons == [CloseReason.HANDSHAKE]
+        assert server.handler.close_reasons == [CloseReason.HANDSHAKE_TIMEOUT]
         assert not server.handler.opened
         writer.close()
 
@@ -301,12 +301,12 @@
         (connection,) = server.handler.opened
         entry = MapEntry("k" * 64, HybridTimestamp(1, 2, "r"), 1.0)
         chunk = Entries((entry,) * 400)
-        while not server.handler.backlogs:  # until the kernel accepts no more
+        while not server.handler.backlogs:  # until the kernel's send buffer is full
             connection.send(chunk)
             await asyncio.sleep(0)
         assert server.handler.backlogs[-1] > 0
         await until(lambda: server.handler.close_reasons)
-        assert server.handler.close_reasons == [CloseReason.STALLED]
+        assert server.handler.close_reasons == [CloseReason.WRITE_STALLED]
         sock.close()
 
 
@@ -317,7 +317,7 @@
         dialer, handler = await connected_dialer(server)
         for number in range(BURST):
             dialer.send(Heartbeat(number, None))
-        assert handler.close_reasons == [CloseReason.QUEUE]
+        assert handler.close_reasons == [CloseReason.QUEUE_OVERFLOW]
         await until(lambda: server.handler.close_reasons or server.counters)
 
 
@@ -325,18 +325,18 @@
 async def test_a_fault_in_handling_a_message_ends_that_connection_alone() -> None:
     async with running_server() as server:
         dialer, handler = await connected_dialer(server)
-        server.handler.fails = True
+        server.handler.raises_on_message = True
         dialer.send(Leave())
         await until(lambda: handler.close_reasons)
-        assert server.handler.close_reasons == [CloseReason.FAULT]
+        assert server.handler.close_reasons == [CloseReason.HANDLER_FAULT]
         assert server.counters["faults"] == 1
 
 
 @on_both_loops
 async def test_an_attempt_is_replaced_by_another_closed_or_refused() -> None:
-    with listen(("127.0.0.1", 0)) as silent:  # its connections are accepted by the kernel, and never served
+    with listen(("127.0.0.1", 0)) as unserved:  # the kernel accepts its connections, but nothing serves them
         dialer, handler = make_dialer()
-        dialer.dial(silent.getsockname()[:2])
+        dialer.dial(unserved.getsockname()[:2])
         async with running_server() as server:
             dialer.dial(server.address)
             await until(lambda: handler.opened)
--- a/violetdoor/control/acceptor.py
+++ b/violetdoor/control/acceptor.py
@@ -1,7 +1,7 @@
-"""The listening socket of a control machine, and its connections that are no sessions yet.
+"""The listening socket of a control machine, and its connections in the handshake.
 
-A connection becomes a session with its first sealed frame: what strangers send ends at the connection and
-never reaches the decisions.
+A connection becomes a session with its first signed frame, so bytes from peers without the key never reach
+the control machine's logic.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from violetdoor.control.connection import Connection, ConnectionHandler, start_accepted
+from violetdoor.control.connection import Connection, ConnectionHandler, attach_accepted_socket
 from violetdoor.control.frames import CloseReason, Side
 from violetdoor.control.messages import SessionRequest, session_request_decoder
 from violetdoor.fleet.authentication import MessageAuthenticator
@@ -21,10 +21,10 @@
 
 log = logging.getLogger("violetdoor.control")
 
-# Until the next attempt to accept where no descriptor was free.
+# Delay after a failed accept, for instance for want of a file descriptor.
 ACCEPT_RETRY_DELAY_SECONDS = 0.05
-# Connections without a sealed frame; one more takes the place of the oldest.
-MAX_HANDSHAKES = 256
+# Connections that have not sent a signed frame yet; one more evicts the oldest.
+MAX_PENDING_HANDSHAKES = 256
 
 
 class Acceptor:
@@ -37,7 +37,7 @@
         handler: ConnectionHandler[SessionRequest],
         is_full: Callable[[], bool],
     ) -> None:
-        """Prepare connections of `handler`; while `is_full()` a further one is closed at once."""
+        """Prepare connections for `handler`; while `is_full()` is true, new ones are closed at once."""
         self.handshakes: dict[Connection[SessionRequest], None] = {}  # oldest first
         self._authenticator = authenticator
         self._counters = counters
@@ -47,28 +47,28 @@
         self._task: asyncio.Task[None] | None = None
 
     def listen(self, bind: Address) -> Address:
-        """Open the socket, and return its address. Raises OSError."""
+        """Open the listening socket, and return its address. Raises OSError."""
         self._listener = listen(bind)
         address: Address = self._listener.getsockname()[:2]
         return address
 
     def start(self) -> None:
-        """Accept until `stop`."""
+        """Accept connections until `stop`."""
         assert self._listener is not None
         self._task = asyncio.get_running_loop().create_task(self._accept_forever(self._listener))
 
     def stop(self) -> None:
-        """Accept no more; the socket stays open."""
+        """Stop accepting; the listening socket stays open."""
         if self._task is not None:
             self._task.cancel()
 
     def close(self) -> None:
-        """Close the socket."""
+        """Close the listening socket."""
         if self._listener is not None:
             self._listener.close()
 
     def handshake_ended(self, connection: Connection[SessionRequest]) -> None:
-        """Forget a connection that is a session now, or has ended."""
+        """Forget a connection that became a session or was closed."""
         self.handshakes.pop(connection, None)
 
     async def _accept_forever(self, listener: socket.socket) -> None:
@@ -76,7 +76,7 @@
         while True:
             try:
                 sock, _ = await loop.sock_accept(listener)
-            except OSError as error:  # no descriptor was free, or the peer has left already
+            except OSError as error:  # no file descriptor was free, or the peer has closed already
                 self._counters["accept_failed"] += 1
                 log.warning("accept failed: %s", error)
                 await asyncio.sleep(ACCEPT_RETRY_DELAY_SECONDS)
@@ -97,7 +97,7 @@
             self._authenticator, Side.SERVER, session_request_decoder, self._handler, self._counters
         )
         self.handshakes[connection] = None
-        if len(self.handshakes) > MAX_HANDSHAKES:
+        if len(self.handshakes) > MAX_PENDING_HANDSHAKES:
             oldest = next(iter(self.handshakes))
-            oldest.abort(CloseReason.CROWDED)
-        await start_accepted(sock, connection)
+            oldest.abort(CloseReason.HANDSHAKE_EVICTED)
+        await attach_accepted_socket(sock, connection)
--- a/violetdoor/control/dialer.py
+++ b/violetdoor/control/dialer.py
@@ -14,32 +14,33 @@
 from violetdoor.net.addresses import Address
 from violetdoor.net.sockets import connect
 
-# For a TCP connection: within a relay's 2 s of silence before it tries the next control machine.
+# Timeout of the TCP connect: shorter than the 2 s without a message after which a relay tries the next
+# control machine.
 CONNECT_TIMEOUT_SECONDS = 1.0
 
 
 class DialerHandler(ConnectionHandler[MessageT], Protocol[MessageT]):
-    """Who opens connections: the handler of a connection that is also notified when none could be opened."""
+    """A connection handler that is also notified of failed attempts to connect."""
 
     def connection_failed(self, *, refused: bool) -> None:
-        """Handle a failed attempt; `refused`: nobody listens there."""
+        """Handle a failed attempt; `refused`: nothing listens at the address."""
 
 
 class Dialer(Generic[MessageT]):
-    """One outgoing connection at a time, or the attempt at one.
+    """One outgoing connection or attempt at a time.
 
-    It is the handler of its connection, and passes on what concerns the present one.
+    It is the handler of its connections, and forwards the calls of the current one only.
     """
 
     def __init__(
         self,
-        seal: MessageAuthenticator,
+        authenticator: MessageAuthenticator,
         decoder: msgspec.msgpack.Decoder[MessageT],
         handler: DialerHandler[MessageT],
         counters: Counter[str],
     ) -> None:
         """Prepare connections; `counters` as in `Connection`."""
-        self.seal = seal
+        self.authenticator = authenticator
         self.decoder = decoder
         self.handler = handler
         self.counters = counters
@@ -47,17 +48,17 @@
         self._attempt: asyncio.Task[None] | None = None
 
     def dial(self, address: Address) -> None:
-        """Connect there in place of the present connection or attempt."""
+        """Connect to `address`, in place of the current connection or attempt."""
         self.close()
         self._attempt = asyncio.get_running_loop().create_task(self._connect(address))
 
     def send(self, message: msgspec.Struct) -> None:
-        """Send on the connection; nothing where there is none."""
+        """Send a message on the connection; without one, drop the message."""
         if self.connection is not None:
             self.connection.send(message)
 
     def close(self) -> None:
-        """Close the connection in order, or cancel the attempt; the handler is notified of neither."""
+        """Close the connection gracefully, or cancel the attempt; the handler is notified of neither."""
         if self._attempt is not None:
             self._attempt.cancel()
             self._attempt = None
@@ -67,28 +68,28 @@
             connection.close()
 
     def connection_opened(self, connection: Connection[MessageT]) -> None:
-        """Pass it on."""
+        """Forward the call for the current connection."""
         if connection is self.connection:
             self.handler.connection_opened(connection)
 
     def message_received(self, connection: Connection[MessageT], message: MessageT) -> None:
-        """Pass it on."""
+        """Forward the call for the current connection."""
         if connection is self.connection:
             self.handler.message_received(connection, message)
 
     def backlog_changed(self, connection: Connection[MessageT], queued_bytes: int) -> None:
-        """Pass it on."""
+        """Forward the call for the current connection."""
         if connection is self.connection:
             self.handler.backlog_changed(connection, queued_bytes)
 
     def connection_closed(self, connection: Connection[MessageT], reason: CloseReason) -> None:
-        """Pass it on, and forget the connection."""
+        """Forward the call for the current connection, and forget the connection."""
         if connection is self.connection:
             self.connection = None
             self.handler.connection_closed(connection, reason)
 
     def _make_connection(self) -> Connection[MessageT]:
-        self.connection = Connection(self.seal, Side.CLIENT, self.decoder, self, self.counters)
+        self.connection = Connection(self.authenticator, Side.CLIENT, self.decoder, self, self.counters)
         return self.connection
 
     async def _connect(self, address: Address) -> None:
@@ -108,6 +109,6 @@
         sock = await connect(address, CONNECT_TIMEOUT_SECONDS)
         try:
             await asyncio.get_running_loop().create_connection(self._make_connection, sock=sock)
-        except BaseException:  # cancelled, too: the socket has no other owner yet
+        except BaseException:  # cancellation included: nothing else would close the socket
             sock.close()
             raise
--- a/violetdoor/control/relay/client.py
+++ b/violetdoor/control/relay/client.py
@@ -1,4 +1,4 @@
-"""The sockets and the clock of a relay's attachment to its region's control machines."""
+"""Drives a relay's attachment to its region's control machines with sockets and a clock."""
 
 from __future__ import annotations
 
@@ -25,16 +25,17 @@
 
 log = logging.getLogger("violetdoor.control")
 
-# The loop's clock stops while the machine sleeps, the attachment's does not: no timer is longer than this.
+# Upper bound of one timer: the event loop's clock stops while the machine is suspended, the attachment's
+# does not.
 MAX_TIMER_SECONDS = 60.0
-# Timers of the loop have a resolution of 1 ms: they are set this much late, so as not to fire too early.
+# Added to each timer so that it doesn't fire early: the event loop's timers have a resolution of 1 ms.
 TIMER_SLACK_SECONDS = 0.001
-# Bytes from the operating system that seed the attachment's random source.
+# Bytes of OS entropy that seed the attachment's random generator.
 RANDOM_SEED_BYTES = 16
 
 
 class ControlClient:
-    """An attachment on real sockets. It is started once, and ends by `close`, `hand_over` or `abort`."""
+    """An attachment on real sockets. Start it once; `close`, `hand_over` or `abort` ends it."""
 
     def __init__(
         self,
@@ -43,7 +44,7 @@
         clock: Callable[[], float] = boot_time,
         counters: Counter[str] | None = None,
     ) -> None:
-        """Prepare an attachment whose frames are sealed with `key`; nothing is sent before `start`."""
+        """Prepare an attachment whose frames are signed with `key`; nothing is sent before `start`."""
         self.clock = clock
         self.counters: Counter[str] = Counter() if counters is None else counters
         random = Random(os.urandom(RANDOM_SEED_BYTES))
@@ -51,7 +52,7 @@
         self.dialer: Dialer[SessionResponse] = Dialer(
             MessageAuthenticator(key), session_response_decoder, self, self.counters
         )
-        self.on_step: Callable[[], None] = lambda: None  # something may have changed
+        self.on_step: Callable[[], None] = lambda: None  # called when the attachment may have changed
         self.on_lookup_result: Callable[[LookupResult], None] = lambda _result: None
         self.is_open = False
         self._timer: asyncio.TimerHandle | None = None
@@ -59,38 +60,41 @@
 
     @property
     def connection(self) -> Connection[SessionResponse] | None:
-        """The connection to the control machine, if there is one."""
+        """The connection to the control machine; None without one."""
         return self.dialer.connection
 
     def start(self, snapshot: AttachmentSnapshot | None = None) -> None:
-        """Attach: as a new run of the relay, or as the run that an earlier process has handed over."""
+        """Attach as a new run of the relay, or continue the run that an earlier process handed over."""
         if snapshot is not None:
             self.attachment.import_snapshot(snapshot, self.clock())
         self.is_open = True
         self._step()
 
     def set_shared_value(self, key: str, value: float | None) -> bool:
-        """Set a value that all relays are to know; False where the map is full."""
+        """Set a value shared with all relays; return False if the key is too long or the map is full."""
         if not self.is_open:
-            return True  # the process that goes on as this run was notified over the upgrade's channel
+            return True  # after a handover, the successor process got the value over the upgrade's channel
         is_set = self.attachment.set_shared_value(key, value)
         self._step()
         return is_set
 
     def lookup(self, key: str) -> int | None:
-        """Ask who owns a key; the number that `on_lookup_result` is called with, None without a session."""
+        """Request the owner of a key; return the number that its `LookupResult` will carry.
+
+        Returns None without a session, or if the key is too long.
+        """
         lookup_number = self.attachment.lookup(key)
         self._step()
         return lookup_number
 
     def leave(self) -> None:
-        """Leave the fleet, and attach no more."""
+        """Leave the fleet, and don't attach again."""
         if self.is_open:
             self.attachment.leave()
             self._step()
 
     def hand_over(self) -> AttachmentSnapshot | None:
-        """Stop, and return what the process that goes on as this run needs; None if this one is not open."""
+        """Stop, and return the state for the process that continues this run; None if already stopped."""
         if not self.is_open:
             return None
         snapshot = self.attachment.export_snapshot()
@@ -99,14 +103,14 @@
         return snapshot
 
     async def close(self) -> None:
-        """Leave the fleet and end."""
+        """Leave the fleet and stop."""
         self.leave()
         self.abort(immediate=False)
 
     def abort(self, *, immediate: bool = True) -> None:
-        """End without a farewell; nothing is called back any more.
+        """Stop without sending `Leave`; no callback is called afterwards.
 
-        `immediate`: what is queued on the connection is lost.
+        `immediate`: discard what is queued on the connection.
         """
         self.is_open = False
         if self._timer is not None:
@@ -115,12 +119,12 @@
         connection = self.dialer.connection
         self.dialer.close()
         if immediate and connection is not None:
-            connection.abort(CloseReason.HERE)
+            connection.abort(CloseReason.CLOSED_LOCALLY)
 
-    # As the handler of the dialer.
+    # DialerHandler.
 
     def connection_opened(self, _connection: Connection[SessionResponse]) -> None:
-        """Ask for a session."""
+        """Request a session."""
         self.attachment.handle_connected(self.clock())
         self._step()
 
@@ -130,14 +134,14 @@
         self._step()
 
     def backlog_changed(self, _connection: Connection[SessionResponse], queued_bytes: int) -> None:
-        """Ignore it: a relay sends little, and a control machine that reads nothing is silent as well."""
+        """Ignore it: a relay sends little, and a machine that reads nothing answers no heartbeat either."""
 
     def connection_closed(self, _connection: Connection[SessionResponse], _reason: CloseReason) -> None:
-        """Try the next control machine."""
+        """Report a disconnect to the attachment, which tries the next control machine."""
         self._handle_disconnected(refused=False)
 
     def connection_failed(self, *, refused: bool) -> None:
-        """Try the next control machine."""
+        """Report a disconnect to the attachment, which tries the next control machine."""
         self._handle_disconnected(refused=refused)
 
     def _handle_disconnected(self, *, refused: bool) -> None:
@@ -145,7 +149,7 @@
             self.attachment.handle_disconnected(self.clock(), refused=refused)
             self._step()
 
-    # What the attachment wants done.
+    # Actions and timers of the attachment.
 
     def _handle_timer(self) -> None:
         now = self.clock()
@@ -154,7 +158,7 @@
         self._step()
 
     def _step(self) -> None:
-        """Carry out what the attachment wants, call `on_step`, and set the timer of its next deadline."""
+        """Execute the attachment's actions, call `on_step`, and set the timer for its next deadline."""
         if not self.is_open or self._is_stepping:
             return
         self._is_stepping = True
--- a/violetdoor/control/server.py
+++ b/violetdoor/control/server.py
@@ -1,8 +1,8 @@
-"""The sockets and clock of a control machine.
+"""Drives a control machine with sockets and a clock.
 
-Its group is a `violetdoor.fleet` endpoint as it is; messages of the group go over that endpoint's streams.
-Relays and other regions' machines connect to one listening socket (`acceptor`), and this machine connects to
-other regions (`region_link`).
+Its group is an ordinary `violetdoor.fleet` endpoint, whose streams carry the group's messages. Relays and
+other regions' machines connect to one listening socket (`acceptor`), and this machine connects to other
+regions (`region_link`).
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 import msgspec
 
 from violetdoor import events
-from violetdoor.control.acceptor import MAX_HANDSHAKES, Acceptor
+from violetdoor.control.acceptor import MAX_PENDING_HANDSHAKES, Acceptor
 from violetdoor.control.actions import (
     Action,
     CloseRegion,
@@ -50,51 +50,52 @@
 
 log = logging.getLogger("violetdoor.control")
 
-# The group's messages use this channel of its streams.
-CHANNEL = "control"
-# Of the machine's random source.
+# Channel of the fleet endpoint's streams that carries the group's messages.
+GROUP_CHANNEL = "control"
+# Bytes of OS entropy that seed the machine's random generator.
 RANDOM_SEED_BYTES = 16
-# Of one timer at the longest: the loop's clock stops while the machine sleeps, the decisions' does not.
+# Upper bound of one timer: the event loop's clock stops while the machine is suspended, the control
+# machine's does not.
 MAX_TIMER_SECONDS = 60.0
-# By which a timer is set late: the loop's have a resolution of 1 ms.
+# Added to each timer so that it doesn't fire early: the event loop's timers have a resolution of 1 ms.
 TIMER_SLACK_SECONDS = 0.001
-# At a graceful shutdown, for relays to attach to the other machines.
+# Time at a graceful shutdown for relays to attach to the other machines.
 SHUTDOWN_TIMEOUT_SECONDS = 3.0
-# Between two checks whether all have.
-SHUTDOWN_POLL_SECONDS = 0.05
+# Interval at which the shutdown checks whether all sessions have ended.
+SHUTDOWN_POLL_INTERVAL_SECONDS = 0.05
 
 
 class ControlServer:
-    """One control machine on real sockets: it drives a `ControlMachine`."""
+    """One control machine on real sockets, which drives a `ControlMachine`."""
 
     def __init__(self, plan: MachinePlan, bind: Address, key: bytes, fleet: FleetEndpoint) -> None:
-        """Prepare to serve sessions on `bind`; `fleet` is the endpoint of the group, not started yet."""
+        """Prepare to serve sessions on `bind`; `fleet` is the group's endpoint, not started yet."""
         self.plan = plan
         self.bind = bind
-        self.address = bind  # where sessions are served, once started
+        self.address = bind  # after `start`: the address on which sessions are served
         self.fleet = fleet
         self.clock = fleet.clock
         self.counters: Counter[str] = Counter()  # names are in docs/oncall.md
-        self.sessions: dict[int, Connection[SessionRequest]] = {}
+        self.sessions: dict[int, Connection[SessionRequest]] = {}  # by session number
         self.machine: ControlMachine
         self.streams: StreamChannel
         self._authenticator = MessageAuthenticator(key)
         self._acceptor = Acceptor(self._authenticator, self.counters, self, self._is_full)
         self._links: dict[str, RegionLink] = {}  # by region
-        self._numbers: dict[Connection[SessionRequest], int] = {}  # of sessions
-        self._next_number = itertools.count(1)
-        self._group: GroupState | None = None  # what the machine knows of it
+        self._session_numbers: dict[Connection[SessionRequest], int] = {}
+        self._next_session_number = itertools.count(1)
+        self._notified_group: GroupState | None = None  # the last state that the machine was notified of
         self._timer: asyncio.TimerHandle | None = None
         self._is_stepping = False
         self._is_open = False
 
     @property
     def handshake_count(self) -> int:
-        """Connections that have sent no sealed frame yet."""
+        """The number of connections that have sent no signed frame yet."""
         return len(self._acceptor.handshakes)
 
     def start(self) -> None:
-        """Enter the group and accept sessions. Raises OSError or StateFileError, with nothing left open."""
+        """Join the group and accept sessions. Raises OSError or StateFileError, with nothing left open."""
         with contextlib.ExitStack() as on_failure:
             self.address = self._acceptor.listen(self.bind)
             on_failure.callback(self._acceptor.close)
@@ -102,8 +103,8 @@
             on_failure.pop_all()
         random = Random(os.urandom(RANDOM_SEED_BYTES))
         self.machine = ControlMachine(self.plan, random, self.clock(), self.fleet.node.map)
-        self.streams = StreamChannel(self.fleet, CHANNEL, self._group_data_received)
-        self.fleet.on_step = self._group_stepped
+        self.streams = StreamChannel(self.fleet, GROUP_CHANNEL, self._group_data_received)
+        self.fleet.on_step = self._group_updated
         self.fleet.entry_listeners.append(self._entry_changed)
         self._is_open = True
         self._acceptor.start()
@@ -129,55 +130,55 @@
         await self.fleet.close()
 
     async def _wait_for_sessions(self) -> None:
-        """Wait until all sessions have ended, but not for long."""
+        """Wait until all sessions have ended, for at most `SHUTDOWN_TIMEOUT_SECONDS`."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + SHUTDOWN_TIMEOUT_SECONDS
         while self.sessions:
             remaining = deadline - loop.time()
             if remaining <= 0:
                 return
-            await asyncio.sleep(min(SHUTDOWN_POLL_SECONDS, remaining))
+            await asyncio.sleep(min(SHUTDOWN_POLL_INTERVAL_SECONDS, remaining))
 
     def reconfigure(self, plan: MachinePlan) -> None:
-        """Apply a plan with the same names, and other limits or addresses of other regions."""
+        """Apply a plan with the same names, but with other limits or region addresses."""
         self.plan = plan
         self.machine.reconfigure(plan)
         self._step()
 
-    # Sessions: this is the handler of their connections.
+    # Sessions: this class is the ConnectionHandler of their connections.
 
     def _is_full(self) -> bool:
-        return len(self.sessions) >= self.plan.limits.max_sessions + MAX_HANDSHAKES
+        return len(self.sessions) >= self.plan.limits.max_sessions + MAX_PENDING_HANDSHAKES
 
     def connection_opened(self, connection: Connection[SessionRequest]) -> None:
-        """Open a session: the peer has sent its first sealed frame."""
+        """Open a session: the peer has sent its first signed frame."""
         self._acceptor.handshake_ended(connection)
-        number = next(self._next_number)
+        number = next(self._next_session_number)
         self.sessions[number] = connection
-        self._numbers[connection] = number
+        self._session_numbers[connection] = number
         self.machine.session_opened(number, connection.peer_address, self.clock())
         self._step()
 
     def message_received(self, connection: Connection[SessionRequest], message: SessionRequest) -> None:
-        """Pass a request on; a lease that was lost meanwhile is known before anything is granted."""
-        number = self._numbers.get(connection)
+        """Forward a request, after a group update: without its lease the machine must grant nothing."""
+        number = self._session_numbers.get(connection)
         if number is None:
-            return  # the machine has closed it
+            return  # the machine has closed the session
         self._update_group()
         self.machine.session_received(number, message, self.clock())
         self._step()
 
     def backlog_changed(self, connection: Connection[SessionRequest], queued_bytes: int) -> None:
-        """Pass it on."""
-        number = self._numbers.get(connection)
+        """Forward the number of queued bytes."""
+        number = self._session_numbers.get(connection)
         if number is not None:
             self.machine.session_backlog_changed(number, queued_bytes, self.clock())
             self._step()
 
     def connection_closed(self, connection: Connection[SessionRequest], _reason: CloseReason) -> None:
-        """End the session, if it was one."""
+        """End the connection's session, if it has one."""
         self._acceptor.handshake_ended(connection)
-        number = self._numbers.pop(connection, None)
+        number = self._session_numbers.pop(connection, None)
         if number is None:
             return
         del self.sessions[number]
@@ -188,16 +189,16 @@
     # The group.
 
     def _update_group(self) -> None:
-        """Notify the machine of a change of its group, after what is due by the node's clock."""
+        """Run the group node's due timers, and notify the machine if the group's state has changed."""
         now = self.clock()
         if self.fleet.node.next_wake_at <= now:
             self.fleet.node.wake(now)
         state = group_state(self.fleet.node, now)
-        if state != self._group:
-            self._group = state
+        if state != self._notified_group:
+            self._notified_group = state
             self.machine.group_changed(state, now)
 
-    def _group_stepped(self) -> None:
+    def _group_updated(self) -> None:
         if self._is_open:
             self._update_group()
             self._step()
@@ -219,34 +220,34 @@
             self.machine.entries_changed((entry,), self.clock())
             self._step()
 
-    # Other regions: this is the handler of the links.
+    # Other regions: this class is the RegionLinkHandler.
 
     def region_connected(self, region: str) -> None:
-        """Pass it on."""
+        """Forward the event."""
         if self._is_open:
             self.machine.region_connected(region, self.clock())
             self._step()
 
     def region_received(self, region: str, message: SessionResponse) -> None:
-        """Pass it on."""
+        """Forward the event."""
         if self._is_open:
             self.machine.region_received(region, message, self.clock())
             self._step()
 
     def region_lost(self, region: str) -> None:
-        """Pass it on."""
+        """Forward the event."""
         if self._is_open:
             self.machine.region_lost(region, self.clock())
             self._step()
 
-    def _link(self, region: str) -> RegionLink:
+    def _region_link(self, region: str) -> RegionLink:
         link = self._links.get(region)
         if link is None:
             link = RegionLink(region, self._authenticator, self, self.counters)
             self._links[region] = link
         return link
 
-    # What the machine wants done.
+    # Actions and timers of the machine.
 
     def _handle_timer(self) -> None:
         self._update_group()
@@ -256,14 +257,14 @@
         self._step()
 
     def _step(self) -> None:
-        """Carry out the machine's actions, and set the timer of its next deadline."""
+        """Execute the machine's actions, and set the timer for its next deadline."""
         if self._is_stepping or not self._is_open:
             return
         self._is_stepping = True
         try:
             while actions := self.machine.take_actions():
                 for action in actions:
-                    self._carry_out(action)
+                    self._execute(action)
         finally:
             self._is_stepping = False
         if self._timer is not None:
@@ -272,7 +273,7 @@
         delay = min(MAX_TIMER_SECONDS, delay)
         self._timer = asyncio.get_running_loop().call_later(delay, self._handle_timer)
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case SendToSession(session, message):
                 connection = self.sessions.get(session)
@@ -284,14 +285,14 @@
                 if not self.streams.send(member, encode(group_message)):
                     self.counters["group_unsent"] += 1
             case ConnectRegion() | SendToRegion() | CloseRegion():
-                self._carry_out_at_region(action)
+                self._execute_region_action(action)
             case MergeEntries(entries):
                 self.fleet.merge_entries(entries)
             case EmitEvent(name, values):
                 events.emit(log, name, **values)
 
-    def _carry_out_at_region(self, action: ConnectRegion | SendToRegion | CloseRegion) -> None:
-        dialer = self._link(action.region).dialer
+    def _execute_region_action(self, action: ConnectRegion | SendToRegion | CloseRegion) -> None:
+        dialer = self._region_link(action.region).dialer
         match action:
             case ConnectRegion(_, address):
                 dialer.dial(address)
@@ -303,6 +304,6 @@
     def _close_session(self, session: int, reason: str) -> None:
         connection = self.sessions.pop(session, None)
         if connection is not None:
-            del self._numbers[connection]
+            del self._session_numbers[connection]
             self.counters[f"session_closed {reason}"] += 1
             connection.close()
