--- a/violetdoor/control/region_link.py
+++ b/violetdoor/control/region_link.py
@@ -1,4 +1,4 @@
-"""The connection of a control machine to a control machine of another region."""
+"""The connection from a control machine to a control machine of another region."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class RegionLinkHandler(Protocol):
-    """Who is notified of what happens on the connections to other regions."""
+    """Receives the events of the connections to other regions."""
 
     def region_connected(self, region: str) -> None:
         """Handle a connection that was opened."""
 
     def region_received(self, region: str, message: SessionResponse) -> None:
-        """Handle a message of the other region's control machine."""
+        """Handle a message from the other region's control machine."""
 
     def region_lost(self, region: str) -> None:
-        """Handle the end of a connection, or a failed attempt at one."""
+        """Handle the end of a connection, or a failed attempt to connect."""
 
 
 class RegionLink:
-    """One connection at a time to one region; it is the handler of its dialer."""
+    """At most one connection to one region at a time; the link is the handler of its dialer."""
 
     def __init__(
         self,
@@ -41,21 +41,21 @@
         self._handler = handler
 
     def connection_opened(self, _connection: Connection[SessionResponse]) -> None:
-        """Pass it on."""
+        """Forward the event with the region's name."""
         self._handler.region_connected(self.region)
 
     def message_received(self, _connection: Connection[SessionResponse], message: SessionResponse) -> None:
-        """Pass it on."""
+        """Forward the event with the region's name."""
         self._handler.region_received(self.region, message)
 
     def backlog_changed(self, _connection: Connection[SessionResponse], queued_bytes: int) -> None:
-        """Ignore it: little is sent here, and a machine that reads nothing sends nothing either."""
+        """Ignore it: little is sent here, and a machine that reads nothing answers no heartbeat either."""
 
     def connection_closed(self, _connection: Connection[SessionResponse], _reason: CloseReason) -> None:
-        """Pass it on."""
+        """Forward the event with the region's name."""
         self._handler.region_lost(self.region)
 
     def connection_failed(self, *, refused: bool) -> None:
-        """Pass it on, whether or not somebody listens there."""
+        """Forward the event with the region's name, whether or not the connection was refused."""
         del refused
         self._handler.region_lost(self.region)
