--- a/violetdoor/control/sessions.py
+++ b/violetdoor/control/sessions.py
@@ -1,4 +1,4 @@
-"""All sessions at one control machine: their start, their leases and updates, and their end."""
+"""The sessions at one control machine: opening, leases, updates and closing."""
 
 from __future__ import annotations
 
@@ -43,18 +43,19 @@
 from violetdoor.control.session import Session
 from violetdoor.fleet.messages import MapEntry
 
-# From one heartbeat to the next: six in a lease.
+# Interval between a relay's heartbeats: six in the duration of a lease.
 HEARTBEAT_INTERVAL_SECONDS = 1.0
-# Without a message after which a relay goes elsewhere: two responses were lost, four heartbeats remain.
+# A relay that receives no message for this time attaches elsewhere: two responses were lost, and its lease
+# lasts for four more heartbeats.
 RELAY_IDLE_TIMEOUT_SECONDS = 2.0
-# Without a message after which a relay is reported as departed: it has had time to attach elsewhere.
+# A relay that sends no message for this time is reported as departed: it has had time to attach elsewhere.
 SESSION_IDLE_TIMEOUT_SECONDS = 3.5
-# Over which relays that are sent to other machines spread their attaches.
+# Relays that are sent to other control machines spread their attaches over this time.
 GO_AWAY_SPREAD_SECONDS = 1.0
 
 
 class Sessions:
-    """The sessions of relays and of watching control machines.
+    """The sessions of relays, and of other regions' control machines that watch this region.
 
     Each start and end of a relay's session is reported to the group's leader through `reports`.
     """
@@ -69,8 +70,8 @@
     ) -> None:
         """Start without sessions."""
         self.counters: Counter[str] = Counter()  # names are in docs/oncall.md
-        self.by_number: OrderedDict[int, Session] = OrderedDict()  # least recently received from first
-        self.by_name: dict[str, Session] = {}  # of relays
+        self.by_number: OrderedDict[int, Session] = OrderedDict()  # in the order of their last messages
+        self.by_name: dict[str, Session] = {}  # sessions of relays, by the relay's name
         self.watcher_count = 0
         self.admission = Admission(context, replica, leases, now)
         self._context = context
@@ -79,7 +80,7 @@
         self._reports = reports
         self._leases = leases
         self._distributor = RosterDistributor(replica, self.counters, self.send)
-        self._idle_counts_from = now  # idle time before this counts for nothing: this machine was stopped
+        self._idle_count_start = now  # end of this process's last pause; idle time is counted from here
 
     # Opening.
 
@@ -91,14 +92,14 @@
             self._reject(session, "full", FULL_RETRY_DELAY_SECONDS)
 
     def attach(self, session: Session, message: Attach, counts: Iterable[RegionCount], now: float) -> None:
-        """Handle a relay's request for a session; `counts` of other regions are sent to it first."""
+        """Handle a relay's request for a session; once open, it is sent the `counts` of other regions."""
         relay = message.relay
         if not has_valid_lengths(relay):
             self.drop(session, "relay", now)
             return
         existing = self.by_name.get(relay.name)
         if existing is not None and existing.relay == relay and message.attempt <= existing.attempt:
-            self.drop(session, "overtaken", now)  # a connection that the relay has given up
+            self.drop(session, "overtaken", now)  # the relay has given up this attempt for a newer one
             return
         rejection = self.admission.rejection(message, now)
         if rejection is None:
@@ -119,7 +120,7 @@
         self._reports.add(SessionOpened(relay, message.attempt), now)
 
     def watch(self, session: Session, message: Watch, now: float) -> None:
-        """Handle the request of another region's control machine to watch this region."""
+        """Handle the request of another region's control machine to watch this region's roster."""
         rejection = self.admission.rejection(message, now)
         if rejection is not None:
             self._reject(session, rejection.reason, rejection.retry_after_seconds)
@@ -130,7 +131,7 @@
         self._welcome(session, message, now)
 
     def _reject(self, session: Session, reason: RejectionReason, retry_after_seconds: float) -> None:
-        """Reject a session. The delay is drawn for each, so that many don't come back together."""
+        """Reject a session. The retry delay is random, so that rejected peers don't all return at once."""
         delay = retry_after_seconds * (1.0 + self._context.random.random())
         self.counters[f"refused_{reason.replace(' ', '_')}"] += 1
         self.send(session, Rejected(reason, round(delay, 3)))
@@ -167,12 +168,12 @@
     # Leases.
 
     def heartbeat(self, session: Session, message: Heartbeat, now: float) -> None:
-        """Grant a lease where that is right, and send the settled version."""
+        """Acknowledge a heartbeat, with a lease if one may be granted, and with the settled version."""
         session.acknowledge(message.applied_version)
         if session.is_roster_paused:
             self._send_roster(session, {}, now)
         is_granted = self._leases.may_grant(session, now)
-        self.counters["leases"] += 1 if is_granted else 0  # the counter exists from the first heartbeat on
+        self.counters["leases"] += 1 if is_granted else 0  # adding 0 creates the counter
         lease_seconds = LEASE_SECONDS if is_granted else 0.0
         settled = self._leases.settled_version(session)
         self.send(session, HeartbeatAck(message.number, lease_seconds, session.sent_version, settled))
@@ -180,7 +181,7 @@
     # The roster.
 
     def distribute(self, now: float) -> None:
-        """Send what is new in the roster to all sessions."""
+        """Bring all sessions up to the newest roster, if it has changed."""
         if not self._distributor.start_round():
             return
         roster = self._replica.roster
@@ -192,10 +193,10 @@
             self._send_roster(session, updates, now)
             relay = session.relay
             if relay is not None and not roster.contains(relay_key(relay)):
-                self._report_again(session, relay, now)
+                self._report_missing_relay(session, relay, now)
 
-    def _report_again(self, session: Session, relay: Relay, now: float) -> None:
-        """Report a session of a relay that the roster does not have, unless a report is on its way."""
+    def _report_missing_relay(self, session: Session, relay: Relay, now: float) -> None:
+        """Report the session of a relay that is missing in the roster, unless a report is pending."""
         if relay.name not in self._reports.pending:
             self._reports.add(SessionOpened(relay, session.attempt), now)
 
@@ -204,7 +205,7 @@
             self.go_away(session, "behind", 0.0, now)
 
     def resync(self, session: Session, now: float) -> None:
-        """Send a snapshot of the roster: the peer could not apply what it got."""
+        """Send a snapshot of the roster: the peer could not apply a delta."""
         session.sent_version = None
         session.in_flight_versions.clear()
         self._send_roster(session, {}, now)
@@ -231,7 +232,7 @@
     # Ending.
 
     def message_received(self, session: Session, now: float) -> None:
-        """Note that the peer has sent something."""
+        """Restart the idle timeout: the peer has sent a message."""
         session.last_received_at = now
         self.by_number.move_to_end(session.number)
 
@@ -246,13 +247,13 @@
         self._end(session, "closed", now)
 
     def backlog_changed(self, session: Session, queued_bytes: int, now: float) -> None:
-        """Handle a change of what is queued for the peer; drop it where that is too much."""
+        """Record the bytes queued for the peer; drop the session if they exceed the limit."""
         session.backlog_bytes = queued_bytes
         if queued_bytes > self._context.plan.limits.max_backlog_bytes:
             self.drop(session, "slow", now)
 
     def drop(self, session: Session, reason: str, now: float) -> None:
-        """Close a session for a fault of its own; its relay counts as one whose connection closed."""
+        """Close a session that violated a rule; its relay is reported as if the connection had closed."""
         values = {"source": session.source, "why": reason}
         self._emit(EmitEvent(events.CONTROL_SESSION_DROPPED, values))
         self.counters[f"closed_{reason}"] += 1
@@ -302,21 +303,21 @@
         if session.relay is not None and self.by_name.get(session.relay.name) is session:
             del self.by_name[session.relay.name]
 
-    # Time.
+    # Idle timeouts.
 
     @property
     def next_wake_at(self) -> float:
-        """When the session that has sent nothing for longest is closed; infinite without sessions."""
+        """When the next idle timeout expires; infinite without sessions."""
         for session in self.by_number.values():
             return self._idle_timeout_at(session)
         return math.inf
 
     def resumed(self, now: float) -> None:
-        """Note that this machine was stopped: what peers sent meanwhile still waits at its sockets."""
-        self._idle_counts_from = now
+        """Restart all idle timeouts after a pause of this process: its sockets hold unread messages."""
+        self._idle_count_start = now
 
     def wake(self, now: float) -> None:
-        """Close the sessions that have sent nothing for too long."""
+        """Close the sessions whose idle timeout has expired."""
         for session in list(self.by_number.values()):
             if now < self._idle_timeout_at(session):
                 break
@@ -325,10 +326,10 @@
             self._emit(CloseSession(session.number, "silent"))
 
     def _idle_timeout_at(self, session: Session) -> float:
-        return max(session.last_received_at, self._idle_counts_from) + SESSION_IDLE_TIMEOUT_SECONDS
+        return max(session.last_received_at, self._idle_count_start) + SESSION_IDLE_TIMEOUT_SECONDS
 
 
 def _split_entries(entries: tuple[MapEntry, ...]) -> list[tuple[MapEntry, ...]]:
-    """Return entries in groups that fit into a frame each."""
+    """Split entries into groups that each fit into one frame."""
     starts = range(0, len(entries), MAX_MESSAGE_ENTRIES)
     return [entries[start : start + MAX_MESSAGE_ENTRIES] for start in starts]
