--- a/violetdoor/control/session_requests.py
+++ b/violetdoor/control/session_requests.py
@@ -1,4 +1,4 @@
-"""The requests that peers send on their sessions."""
+"""Handling of the requests that peers send on their sessions."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 
 
 class SessionRequestHandler:
-    """Dispatches requests, and answers those that are not about the session itself."""
+    """Dispatches requests, and answers those that don't concern the session itself."""
 
     def __init__(
         self, context: MachineContext, replica: Replica, sessions: Sessions, regions: RegionFollowers
     ) -> None:
-        """Handle requests of `sessions` with what `replica` and `regions` know."""
+        """Handle requests on `sessions`; `replica` and `regions` provide the owners of keys."""
         self._context = context
         self._replica = replica
         self._sessions = sessions
         self._regions = regions
 
     def handle(self, session: Session, message: SessionRequest, now: float) -> None:
-        """Handle one request; a session that sends one out of place is dropped."""
+        """Handle one request; one that is not valid in the session's state drops the session."""
         sessions = self._sessions
         match message:
             case Attach() if not session.is_open:
@@ -52,14 +52,16 @@
             case Resync() if session.is_open:
                 sessions.resync(session, now)
             case PutEntries() | Lookup() | Leave() if session.relay is not None:
-                self._handle_of_relay(session, message, now)
+                self._handle_relay_request(session, message, now)
             case _:
                 sessions.drop(session, "unexpected", now)
 
-    def _handle_of_relay(self, session: Session, message: PutEntries | Lookup | Leave, now: float) -> None:
+    def _handle_relay_request(
+        self, session: Session, message: PutEntries | Lookup | Leave, now: float
+    ) -> None:
         match message:
             case PutEntries():
-                self._put(session, message, now)
+                self._put_entries(session, message, now)
             case Lookup() if len(message.key) <= MAX_LOOKUP_KEY_CHARACTERS:
                 self._sessions.send(session, self._look_up(message))
             case Lookup():
@@ -67,23 +69,23 @@
             case Leave():
                 self._sessions.relay_left(session, now)
 
-    def _put(self, session: Session, message: PutEntries, now: float) -> None:
+    def _put_entries(self, session: Session, message: PutEntries, now: float) -> None:
         """Merge a relay's entries into the shared map, and send back those that are newer here."""
-        if not _is_valid(message):
+        if not _is_within_limits(message):
             self._sessions.drop(session, "put", now)
             return
-        newer: list[MapEntry] = []
-        outdated: list[MapEntry] = []
+        newer_at_relay: list[MapEntry] = []
+        newer_here: list[MapEntry] = []
         for entry in message.entries:
             current = self._context.shared.entries.get(entry.key)
             if current is None or current.timestamp < entry.timestamp:
-                newer.append(entry)
+                newer_at_relay.append(entry)
             elif current.timestamp > entry.timestamp:
-                outdated.append(current)
-        if newer:
-            self._context.emit(MergeEntries(tuple(newer)))
-        if outdated:
-            self._sessions.send(session, Entries(tuple(outdated)))
+                newer_here.append(current)
+        if newer_at_relay:
+            self._context.emit(MergeEntries(tuple(newer_at_relay)))
+        if newer_here:
+            self._sessions.send(session, Entries(tuple(newer_here)))
 
     def _look_up(self, message: Lookup) -> LookupResponse:
         plan = self._context.plan
@@ -95,7 +97,7 @@
         return LookupResponse(message.number, region, owner)
 
 
-def _is_valid(message: PutEntries) -> bool:
+def _is_within_limits(message: PutEntries) -> bool:
     entries = message.entries
     if len(entries) > MAX_MESSAGE_ENTRIES:
         return False
