--- a/violetdoor/control/admission.py
+++ b/violetdoor/control/admission.py
@@ -1,4 +1,4 @@
-"""Whether a control machine opens a session, and when a rejected peer is to come back."""
+"""Decides whether a control machine opens a session, and when a rejected peer may retry."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 from violetdoor.control.session import Session
 from violetdoor.control.token_bucket import TokenBucket
 
-# After its last message for which a relay keeps others of its name out.
+# Time after a relay's last message in which another run of a relay of the same name is rejected.
 NAME_OWNERSHIP_SECONDS = 2.0
-# Retry-After of a control machine without a lease in its group, or with an older roster than the relay's.
+# Retry-After if the control machine has no lease in its group, or an older roster than the peer.
 NOT_READY_RETRY_DELAY_SECONDS = 1.0
-# Retry-After of a control machine whose rate of attaches is used up.
+# Retry-After if the control machine's limit on the rate of attaches is reached.
 BUSY_RETRY_DELAY_SECONDS = 1.0
-# Retry-After where another run of a relay of the name is alive.
+# Retry-After if another run of a relay of the same name is alive.
 NAME_RETRY_DELAY_SECONDS = 2.0
-# Retry-After of a control machine that is full, or the wrong one.
+# Retry-After if the control machine has too many sessions, or another region or protocol version.
 FULL_RETRY_DELAY_SECONDS = 4.0
 
 
 class Admission:
-    """The conditions of a session at one control machine."""
+    """The conditions under which one control machine opens a session."""
 
     def __init__(self, context: MachineContext, replica: Replica, leases: LeaseGranter, now: float) -> None:
-        """Start with the full burst of attaches that the plan allows."""
+        """Start with the full burst of attaches that the plan's limits allow."""
         self.is_stopping = False
         self._context = context
         self._replica = replica
@@ -43,13 +43,13 @@
         self._bucket = TokenBucket(limits.attaches_per_second, limits.attach_burst, now)
 
     def reconfigure(self) -> None:
-        """Apply the rates of the context's new plan, from the next attach on."""
+        """Apply the rate limits of the context's new plan, from the next attach on."""
         limits = self._context.plan.limits
         self._bucket.rate = limits.attaches_per_second
         self._bucket.burst = limits.attach_burst
 
     def rejection(self, message: Attach | Watch, now: float) -> Rejected | None:
-        """Return why this machine opens no session whoever requests it; None where it does."""
+        """Return the rejection of a request that holds for any peer; None if there is none."""
         if message.protocol != PROTOCOL_VERSION:
             return Rejected("version", FULL_RETRY_DELAY_SECONDS)
         if message.region != self._context.plan.region:
@@ -63,7 +63,7 @@
         return None
 
     def name_rejection(self, relay: Relay, existing: Session | None, now: float) -> Rejected | None:
-        """Return a rejection where the session of the relay's name is another run's that is alive."""
+        """Return a rejection if `existing`, of the same name, belongs to another run that is alive."""
         if existing is None or existing.relay is None or existing.relay.instance == relay.instance:
             return None
         if now >= existing.last_received_at + NAME_OWNERSHIP_SECONDS:
@@ -72,6 +72,6 @@
 
 
 def has_valid_lengths(relay: Relay) -> bool:
-    """Return whether a relay has a name, and all its texts are within their bounds."""
-    lengths = [(relay.name, MAX_NAME_BYTES), (relay.host, MAX_HOST_BYTES), (relay.zone, MAX_ZONE_BYTES)]
-    return bool(relay.name) and all(len(text.encode()) <= bound for text, bound in lengths)
+    """Return whether a relay has a name, and its name, host and zone are not too long."""
+    limits = [(relay.name, MAX_NAME_BYTES), (relay.host, MAX_HOST_BYTES), (relay.zone, MAX_ZONE_BYTES)]
+    return bool(relay.name) and all(len(text.encode()) <= max_bytes for text, max_bytes in limits)
