--- a/violetdoor/control/service.py
+++ b/violetdoor/control/service.py
@@ -1,4 +1,4 @@
-"""A relay's attachment as the program's service: what the rest of the program does with the fleet."""
+"""The program's service that attaches a relay to its region's control machines."""
 
 from __future__ import annotations
 
@@ -26,33 +26,33 @@
 
 log = logging.getLogger("violetdoor")
 
-# That a predecessor has to hand its run over, once this process accepts clients.
+# Time that the predecessor process has to hand over its run, once this process accepts clients.
 HANDOVER_TIMEOUT_SECONDS = 2.0
-# Keys of other regions whose owner was looked up last.
+# Cached owners of other regions' keys, and lookups without a response; beyond it the oldest is dropped.
 MAX_CACHED_OWNERS = 1024
 
-_snapshots = msgspec.msgpack.Decoder(AttachmentSnapshot)
+_snapshot_decoder = msgspec.msgpack.Decoder(AttachmentSnapshot)
 
 
 class ControlService(Service):
-    """Attaches to the control machines, gives the core the number of relays, and shares bans and drains."""
+    """Attaches to the control machines, notifies the core of the relay count, and shares bans and drains."""
 
     def __init__(self, host: ServiceHost) -> None:
-        """Read the key's file; ConfigError where it can't be read."""
+        """Read the key file. Raises ConfigError if it can't be read."""
         options = host.config.control
-        assert options is not None, "this service is made only for a relay that attaches"
+        assert options is not None, "ControlService requires the options of an attachment"
         self.host = host
         self.core = host.core
         self.options = options
         self.handover_timer: asyncio.TimerHandle | None = None
         self.first_lease_acquired = asyncio.Event()
-        self.member_count: int | None = None  # of all regions, as the core was notified; None: not known
+        self.member_count: int | None = None  # relays in all regions, as last sent to the core; None: unknown
         self.client = self._make_client(options)
         self.shared_servers = SharedServerStates(
             host, lambda key, value: self.client.set_shared_value(key, value)
         )
         self._pending_lookups: dict[int, str] = {}  # keys by the number of their lookup
-        self._cached_owners: dict[str, str | None] = {}  # by key of another region, oldest answer first
+        self._cached_owners: dict[str, str | None] = {}  # by key of another region, oldest response first
 
     def _make_client(self, options: AttachmentOptions) -> ControlClient:
         config = self.host.config
@@ -71,21 +71,21 @@
         return client
 
     async def start(self) -> None:
-        """Attach, and wait for the first lease; in an upgrade, wait for the predecessor instead."""
+        """Attach, and wait for the first lease; in an upgrade, wait for the handover instead."""
         if self.host.predecessor_state is not None:
-            # The process before this one has the session until it says that it accepts no more clients.
+            # The predecessor process keeps the session until this process accepts clients.
             self.handover_timer = asyncio.get_running_loop().call_later(
                 HANDOVER_TIMEOUT_SECONDS, self._start_client, None
             )
             return
         self._start_client(None)
-        # A client that is accepted before would be placed without what the others know of servers.
+        # Clients accepted before the first lease would be placed without the other relays' bans and drains.
         try:
             async with asyncio.timeout(self.options.lease_wait_seconds):
                 await self.first_lease_acquired.wait()
         except TimeoutError:
             log.warning(
-                "no lease of a control machine within %g s: this relay serves alone",
+                "got no lease from a control machine within %g s, accepting clients without fleet state",
                 self.options.lease_wait_seconds,
             )
 
@@ -95,34 +95,34 @@
             self.handover_timer.cancel()
         await self.client.close()
 
-    # Two processes of one relay are one run.
+    # Upgrade: both processes belong to one run of the relay.
 
     def on_successor_accepting(self) -> None:
-        """Hand the run over to the process that accepts clients from now on."""
+        """Hand the run over to the successor process, which accepts clients from now on."""
         snapshot = self.client.hand_over()
         if snapshot is not None:
             text = base64.b85encode(msgspec.msgpack.encode(snapshot)).decode()
             self.host.send_to_peer(ControlAttachment(text))
 
     def on_message(self, message: Message) -> None:
-        """Go on as the run that the process before this one has handed over."""
+        """Continue the run that the predecessor process has handed over."""
         if isinstance(message, ControlAttachment):
-            self._start_client(_snapshots.decode(base64.b85decode(message.state)))
+            self._start_client(_snapshot_decoder.decode(base64.b85decode(message.state)))
 
     def on_successor_lost(self) -> None:
-        """Attach as a new run: the one before went with the process that took over and ended."""
+        """Attach as a new run: the handed over one ended with the successor process."""
         self.client = self._make_client(self.options)
         self._start_client(None)
 
     def _start_client(self, snapshot: AttachmentSnapshot | None) -> None:
-        """Attach, unless that was done: as the run that the other process was, or as a new one."""
+        """Attach unless already attached: continue the run of `snapshot`, or start a new one if None."""
         if self.handover_timer is not None:
             self.handover_timer.cancel()
             self.handover_timer = None
         if not self.client.is_open:
             self.client.start(snapshot)
 
-    # What the attachment is used for.
+    # Events of the attachment.
 
     def _handle_step(self) -> None:
         attachment = self.client.attachment
@@ -151,19 +151,19 @@
             del self._cached_owners[next(iter(self._cached_owners))]
 
     def _look_up(self, key: str) -> None:
-        """Ask a control machine; the answer is there for the next call."""
+        """Request the owner from a control machine; the response is cached for later calls."""
         if key in self._pending_lookups.values():
             return
-        while len(self._pending_lookups) >= MAX_CACHED_OWNERS:  # their session ended before the answer
+        while len(self._pending_lookups) >= MAX_CACHED_OWNERS:  # their sessions ended before the response
             del self._pending_lookups[next(iter(self._pending_lookups))]
         lookup_number = self.client.lookup(key)
         if lookup_number is not None:
             self._pending_lookups[lookup_number] = key
 
-    # Operators.
+    # Metrics and console calls.
 
     def gauges(self) -> Mapping[str, Callable[[], int]]:
-        """Figures of the attachment, by the names in docs/operators/fleet-scale.md."""
+        """Return the gauges of the attachment, under the names in docs/operators/fleet-scale.md."""
         attachment = self.client.attachment
         return {
             "fleet_size": lambda: self.member_count or 0,
@@ -178,7 +178,7 @@
         return int(1000 * status.lease_remaining_seconds)
 
     def handle_call(self, method: str, path: list[str]) -> Answer | None:
-        """Answer the console's calls under `/fleet`; None for all others."""
+        """Answer the console's calls under `/fleet`; return None for all others."""
         if path[:1] != ["fleet"]:
             return None
         match method, path[1:]:
@@ -194,18 +194,18 @@
         return Answer(HTTPStatus.METHOD_NOT_ALLOWED, "another method or path is wanted\n")
 
     def _answer_owns(self, key: str) -> Answer:
-        """Answer whether a key is this relay's alone at this moment, and under which roster."""
+        """Answer whether only this relay may act on a key at this moment, with the roster's version if so."""
         attachment = self.client.attachment
         if attachment.owns(key, self.client.clock()) and attachment.roster is not None:
             return Answer(HTTPStatus.OK, f"{attachment.roster.version}\n")
         return Answer(HTTPStatus.CONFLICT, "not this relay's\n")
 
     def _answer_owner(self, key: str) -> Answer:
-        """Answer who owns a key by the newest roster here, or by a control machine's last answer."""
+        """Answer with a key's owner by the newest roster here, or by a control machine's last response."""
         owner = self.client.attachment.owner(key)
         if owner is None:
             owner = self._cached_owners.get(key)
             self._look_up(key)
         if owner is None:
-            return Answer(HTTPStatus.SERVICE_UNAVAILABLE, "not known yet: a control machine is asked\n")
+            return Answer(HTTPStatus.SERVICE_UNAVAILABLE, "owner not known yet, asking a control machine\n")
         return Answer(HTTPStatus.OK, f"{owner}\n")
