--- a/tests/test_control_sessions.py
+++ b/tests/test_control_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions at one control machine: admission, leases, bounds and requests out of place."""
+"""Sessions at one control machine: admission, leases, limits and unexpected requests."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 def settled_machine(limits: MachineLimits | None = None, now: float = 0.0) -> ControlMachine:
-    """A control machine that is alone in its group, and has written its first roster."""
+    """Return a control machine that is alone in its group and has written its first roster."""
     plan = MachinePlan("c", "a", {"a": (("h", 1),)}, limits or MachineLimits())
     machine = ControlMachine(plan, Random(1), now, SharedMap("c"))
-    alone = GroupState(
+    group = GroupState(
         epoch=7,
         term=1,
         incarnation=1,
@@ -42,7 +42,7 @@
         lease_expires_at=1e9,
         prior_leases_expired=True,
     )
-    machine.group_changed(alone, now)
+    machine.group_changed(group, now)
     for _ in range(40):
         now += 0.25
         machine.wake(now)
@@ -63,7 +63,7 @@
     return [action.message for action in sent if action.session == session]
 
 
-def closed_reasons(machine: ControlMachine) -> list[str]:
+def close_reasons(machine: ControlMachine) -> list[str]:
     return [action.reason for action in machine.take_actions() if isinstance(action, CloseSession)]
 
 
@@ -120,12 +120,12 @@
         (Resync(), "unexpected"),
     ],
 )
-def test_a_request_out_of_place_closes_its_session_alone(message: SessionRequest, reason: str) -> None:
+def test_an_unexpected_request_closes_its_session_alone(message: SessionRequest, reason: str) -> None:
     machine = settled_machine()
     machine.session_opened(1, "x", 20.0)
     machine.session_opened(2, "y", 20.0)
     machine.session_received(1, message, 20.0)
-    assert closed_reasons(machine) == [reason]
+    assert close_reasons(machine) == [reason]
     assert list(machine.sessions.by_number) == [2]
     assert machine.status(20.0).counters[f"closed_{reason}"] == 1
 
@@ -139,19 +139,19 @@
     acks = [message for message in responses_to(machine, 1) if isinstance(message, HeartbeatAck)]
     assert acks[-1].lease_seconds > 0
     machine.session_backlog_changed(1, 300_000, 20.5)
-    before = machine.replica.version
+    applied_version = machine.replica.version
     now = 20.5
     for n in range(2, 90):
         machine.session_opened(n, "x", now)
         machine.session_received(n, attach(f"r{n}"), now)
         now += 0.1
         machine.wake(now)
-        machine.session_received(1, Heartbeat(n, before), now)
+        machine.session_received(1, Heartbeat(n, applied_version), now)
     responses = responses_to(machine, 1)
     assert [message.lease_seconds for message in responses if isinstance(message, HeartbeatAck)] == [0.0] * 88
     assert not any(isinstance(message, RosterDeltas | SnapshotChunk) for message in responses)
     machine.session_backlog_changed(1, 0, now)
-    machine.session_received(1, Heartbeat(90, before), now)
+    machine.session_received(1, Heartbeat(90, applied_version), now)
     responses = responses_to(machine, 1)
     assert isinstance(responses[0], SnapshotChunk)
     assert machine.replica.roster is not None
@@ -167,4 +167,4 @@
     machine.session_opened(1, "x", 20.0)
     machine.session_received(1, attach(), 20.0)
     machine.session_backlog_changed(1, 1001, 20.1)
-    assert closed_reasons(machine) == ["slow"]
+    assert close_reasons(machine) == ["slow"]
