--- a/tests/control_site.py
+++ b/tests/control_site.py
@@ -1,4 +1,4 @@
-"""Control machines and relays as processes, with the files that they read, for tests."""
+"""Test helpers that run control machines and relays as processes, with their configuration files."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from standins import ROOT, Discovery, GateServer, Relay, relay, run, until
 from test_fleet_process import KEY, line_front
 
-# For a state that takes elections, leases or deaths to come.
+# Timeout of a state that depends on elections, on leases or on the removal of dead processes.
 STATE_TIMEOUT_SECONDS = 30.0
-# Between two polls of a console.
+# Interval between two polls of a console.
 POLL_INTERVAL_SECONDS = 0.02
 SESSION_PORT = 7950
 GROUP_PORT = 7946
-MACHINES = ("c1", "c2", "c3")  # of a site
-RELAYS = 3  # of a site
+MACHINE_NAMES = ("c1", "c2", "c3")  # control machines of a site
+RELAY_COUNT = 3  # relays of a site
 
 Parameters = ParamSpec("Parameters")
 
 
 def async_test(test: Callable[Parameters, Awaitable[None]]) -> Callable[Parameters, None]:
-    """Run a test's coroutine; nothing may hang."""
+    """Run a test's coroutine with the timeout of `standins.run`."""
 
     @functools.wraps(test)
     def run_test(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
@@ -45,7 +45,7 @@
 async def eventually(
     condition: Callable[[], Awaitable[object]], timeout_seconds: float = STATE_TIMEOUT_SECONDS
 ) -> None:
-    """Poll until a condition holds; TimeoutError where it doesn't come to hold in time."""
+    """Poll until a condition holds. Raises TimeoutError if it doesn't hold in time."""
     async with asyncio.timeout(timeout_seconds):
         while True:
             if await condition():
@@ -54,21 +54,21 @@
 
 
 class ControlMachine(Relay):
-    """A control machine as a process."""
+    """A control machine that runs as a process."""
 
 
 class Region:
-    """Addresses and files of one region's control machines and relays, of one test alone."""
+    """Addresses and configuration files of one region's control machines and relays, for one test."""
 
     def __init__(
         self,
         folder: Path,
         front: dict[str, Any],
         name: str = "r1",
-        machines: Sequence[str] = MACHINES,
+        machines: Sequence[str] = MACHINE_NAMES,
     ) -> None:
         self.folder = folder
-        self.front = front  # what the relays' files have beside the fleet
+        self.front = front  # tables of the relays' files that configure their front
         self.name = name
         self.network = f"127.{150 + os.getpid() % 50}.{Random().randrange(256)}"
         self.machines = list(machines)
@@ -82,7 +82,7 @@
         return f"{self.network}.{machine[1:]}:{GROUP_PORT}"
 
     def write_machine_file(self, name: str, /, **control: Any) -> Path:
-        """Write a control machine's file, with what `control` says in its table `[control]`."""
+        """Write a control machine's file; `control` overrides entries of its table `[control]`."""
         data = {
             "log": "json",
             "control": {
@@ -106,7 +106,7 @@
         return path
 
     def write_relay_file(self, name: str, /, **fleet: Any) -> Path:
-        """Write a relay's file, with what `fleet` says in its table `[fleet]`."""
+        """Write a relay's file; `fleet` overrides entries of its table `[fleet]`."""
         data = {
             "name": name,
             "listen": "127.0.0.1:0",
@@ -132,7 +132,7 @@
 
     @contextlib.asynccontextmanager
     async def running_machine(self, name: str) -> AsyncIterator[ControlMachine]:
-        """Start a control machine, wait until it listens, see that it ended well and without a fault."""
+        """Run a control machine from when it listens, and check that it stops cleanly without a traceback."""
         path = self.write_machine_file(name)
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -152,7 +152,7 @@
 
 @dataclass
 class ControlSite:
-    """Three control machines with a leader, and three relays that are attached to them."""
+    """Three control machines, and three relays that are attached to them."""
 
     region: Region
     machines: dict[str, ControlMachine]
@@ -163,7 +163,7 @@
         return next(iter(self.machines.items()))
 
     async def attempts(self) -> list[int]:
-        """The sessions that each relay has asked for."""
+        """Return the number of sessions that each relay has requested."""
         return [(await fleet_status(relay))["attempt"] for relay in self.relays]
 
 
@@ -176,43 +176,43 @@
         region = Region(folder, line_front(discovery))
         starting = [stack.enter_async_context(region.running_machine(name)) for name in region.machines]
         attaching = [
-            stack.enter_async_context(region.running_relay(f"r{number}")) for number in range(RELAYS)
+            stack.enter_async_context(region.running_relay(f"r{number}")) for number in range(RELAY_COUNT)
         ]
         machines, relays = await asyncio.gather(asyncio.gather(*starting), asyncio.gather(*attaching))
         for relay_process in relays:
-            await lease_with(relay_process, living=RELAYS)
+            await wait_for_lease(relay_process, relay_count=RELAY_COUNT)
         by_name = dict(zip(region.machines, machines, strict=True))
         yield ControlSite(region, by_name, list(relays), gate_servers)
 
 
 async def fleet_status(relay: Relay) -> dict[str, Any]:
-    """What a relay's console shows of its attachment."""
+    """Return the status of a relay's attachment from its console."""
     status, text = await relay.call("GET /fleet")
     assert status == HTTPStatus.OK
     return dict(orjson.loads(text))
 
 
 async def control_status(machine: ControlMachine) -> dict[str, Any]:
-    """What a control machine's console shows of it."""
+    """Return the status of a control machine from its console."""
     status, text = await machine.call("GET /control")
     assert status == HTTPStatus.OK
     return dict(orjson.loads(text))
 
 
-async def lease_with(relay: Relay, living: int) -> dict[str, Any]:
-    """Wait until a relay holds a lease and counts so many relays; its status then."""
+async def wait_for_lease(relay: Relay, relay_count: int) -> dict[str, Any]:
+    """Wait until a relay holds a lease and counts `relay_count` live relays; return its status then."""
     status: dict[str, Any] = {}
 
-    async def holds() -> bool:
+    async def has_lease() -> bool:
         status.update(await fleet_status(relay))
-        return bool(status["may_act"] and status["living"]["total"] == living)
+        return bool(status["may_act"] and status["living"]["total"] == relay_count)
 
-    await eventually(holds)
+    await eventually(has_lease)
     return status
 
 
-async def attached_elsewhere(relay: Relay, machine: str) -> None:
-    """Wait until a relay is attached to another control machine than this."""
+async def wait_until_attached_elsewhere(relay: Relay, machine: str) -> None:
+    """Wait until a relay is attached to another control machine than `machine`."""
 
     async def is_elsewhere() -> bool:
         status = await fleet_status(relay)
@@ -221,22 +221,22 @@
     await eventually(is_elsewhere)
 
 
-async def leader_of(site: ControlSite) -> str:
-    """Wait until one of the machines leads; its name."""
+async def wait_for_leader(site: ControlSite) -> str:
+    """Wait until one of the control machines is the leader, and return its name."""
     leaders: list[str] = []
 
-    async def is_led() -> bool:
+    async def has_leader() -> bool:
         for name, machine in site.machines.items():
             if (await control_status(machine))["leads"]:
                 leaders.append(name)
                 return True
         return False
 
-    await eventually(is_led)
+    await eventually(has_leader)
     return leaders[0]
 
 
 def kill(process: Relay) -> None:
-    """Kill a process, and expect that it ends so."""
+    """Kill a process; at the end of the test it is expected to have died by SIGKILL."""
     process.killed = True
     process.process.kill()
--- a/tests/test_control_process.py
+++ b/tests/test_control_process.py
@@ -1,4 +1,4 @@
-"""Control machines and relays as processes: attaching, deaths, invalid bytes, reloads and upgrades."""
+"""Control machines and relays as processes: attaching, killed processes, invalid bytes, reloads, upgrades."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 import orjson
 from control_site import (
-    MACHINES,
-    RELAYS,
+    MACHINE_NAMES,
+    RELAY_COUNT,
     STATE_TIMEOUT_SECONDS,
     ControlMachine,
     ControlSite,
     Region,
     async_test,
-    attached_elsewhere,
     control_site,
     control_status,
     eventually,
     fleet_status,
     kill,
-    leader_of,
-    lease_with,
+    wait_for_leader,
+    wait_for_lease,
+    wait_until_attached_elsewhere,
 )
 from standins import PATIENCE, Discovery, GateServer, Relay, until
 from test_fleet_process import KEY, line_front, run_command
@@ -39,10 +39,10 @@
 
 NONCE_BYTES = 16
 OTHER_KEY = b"another key of the same length.."
-SHARED_WITHIN_SECONDS = 2.0  # in which all relays know of a ban
-# Of the connections that `check_invalid_bytes_do_no_harm` opens at one machine.
+BAN_SHARING_TIMEOUT_SECONDS = 2.0  # until all relays apply a ban, or its end
+# Accepted connections among those that `check_invalid_bytes_do_no_harm` opens at one machine.
 MIN_EXPECTED_ACCEPTS = 8
-MIN_EXPECTED_DROPS = 2  # by seal, and by length
+MIN_EXPECTED_DROPS = 2  # of those, dropped for an invalid tag; and as many for an invalid length
 
 
 @async_test
@@ -50,7 +50,7 @@
     async with control_site(tmp_path) as site:
         first, *others = site.relays
         last = others[-1]
-        assert [(await relay.figures())["fleet_size"] for relay in site.relays] == [RELAYS] * RELAYS
+        assert [(await relay.figures())["fleet_size"] for relay in site.relays] == [RELAY_COUNT] * RELAY_COUNT
 
         async def knows_all_servers() -> bool:
             return (await first.figures())["pool_size"] == len(site.gate_servers)
@@ -64,9 +64,9 @@
         await eventually(knows_all_servers, PATIENCE)
         server = f"s-{site.gate_servers[0].address}"
         assert (await first.call(f"PUT /gate-servers/{server}/maint"))[0] == HTTPStatus.OK
-        await eventually(is_banned_everywhere, SHARED_WITHIN_SECONDS)
+        await eventually(is_banned_everywhere, BAN_SHARING_TIMEOUT_SECONDS)
         assert (await last.call(f"PUT /gate-servers/{server}/ready"))[0] == HTTPStatus.OK
-        await eventually(is_unbanned_everywhere, SHARED_WITHIN_SECONDS)
+        await eventually(is_unbanned_everywhere, BAN_SHARING_TIMEOUT_SECONDS)
         await check_keys_are_owned_once(site.relays)
         await check_invalid_bytes_do_no_harm(site)
         await check_lack_of_descriptors_does_no_harm(site)
@@ -89,10 +89,10 @@
 
 
 async def check_invalid_bytes_do_no_harm(site: ControlSite) -> None:
-    """Send junk, frames under another key and a recorded conversation to the session port of one machine."""
+    """Send random bytes, a frame under another key and a replayed handshake to one machine's session port."""
     name, machine = site.first_machine()
     host, _, port = site.region.session_address(name).partition(":")
-    before = set(await site.attempts())
+    attempts_before = set(await site.attempts())
 
     async def send(data: bytes) -> None:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -103,14 +103,14 @@
         writer.close()
 
     async def send_heartbeat(key: bytes) -> bytes:
-        """Send a heartbeat, with which no session begins; all bytes that were sent."""
+        """Send a heartbeat, which opens no session; return all bytes that were sent."""
         codec = FrameCodec(MessageAuthenticator(key), Side.CLIENT)
         reader, writer = await asyncio.open_connection(host, int(port))
         assert not list(codec.feed(await reader.readexactly(NONCE_BYTES)))
         data = codec.nonce + codec.encode_frame(encode(Heartbeat(1, None)))
         writer.write(data)
         with contextlib.suppress(ConnectionError):
-            await reader.read()  # until the machine closes it
+            await reader.read()  # until the machine closes the connection
         writer.close()
         return data
 
@@ -118,9 +118,9 @@
         counters = (await control_status(machine))["counts"]
         return bool(counters.get("dropped_seal", 0) >= MIN_EXPECTED_DROPS)
 
-    recorded = await send_heartbeat(KEY)
+    replayed = await send_heartbeat(KEY)
     await send_heartbeat(OTHER_KEY)
-    await send(recorded)
+    await send(replayed)
     random = Random(1)
     for length in (0, NONCE_BYTES, NONCE_BYTES + 1, 40, 5000):
         await send(random.randbytes(length))
@@ -130,17 +130,17 @@
     assert counters["dropped_length"] >= MIN_EXPECTED_DROPS
     assert not counters.get("faults")
     for relay in site.relays:
-        await lease_with(relay, living=RELAYS)
-    assert set(await site.attempts()) == before
+        await wait_for_lease(relay, relay_count=RELAY_COUNT)
+    assert set(await site.attempts()) == attempts_before
 
 
 async def check_lack_of_descriptors_does_no_harm(site: ControlSite) -> None:
-    """Take a machine's last descriptors: it accepts again once there are some, and its sessions go on."""
+    """Exhaust a machine's file descriptors: it keeps its sessions, and accepts again once some are free."""
     name, machine = site.first_machine()
     host, _, port = site.region.session_address(name).partition(":")
     pid = machine.process.pid
     limits = resource.prlimit(pid, resource.RLIMIT_NOFILE)
-    before = await site.attempts()
+    attempts_before = await site.attempts()
     open_descriptors = len(os.listdir(f"/proc/{pid}/fd"))
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (open_descriptors + 4, limits[1]))
     writers = [(await asyncio.open_connection(host, int(port)))[1] for _ in range(16)]
@@ -150,32 +150,32 @@
     resource.prlimit(pid, resource.RLIMIT_NOFILE, limits)
     assert (await control_status(machine))["counts"]["accept_failed"] >= 1
     for relay in site.relays:
-        await lease_with(relay, living=RELAYS)
-    assert await site.attempts() == before
+        await wait_for_lease(relay, relay_count=RELAY_COUNT)
+    assert await site.attempts() == attempts_before
 
 
 @async_test
 async def test_a_killed_or_stopped_control_machine_costs_no_relay_its_lease(tmp_path: Path) -> None:
     async with control_site(tmp_path) as site:
-        leader = await leader_of(site)
+        leader = await wait_for_leader(site)
         kill(site.machines.pop(leader))
         for relay in site.relays:
-            await attached_elsewhere(relay, leader)
-            await lease_with(relay, living=RELAYS)
-        # A new leader writes the roster: a relay that dies now is removed.
-        await leader_of(site)
+            await wait_until_attached_elsewhere(relay, leader)
+            await wait_for_lease(relay, relay_count=RELAY_COUNT)
+        # The new leader writes the roster: it removes a relay that is killed now.
+        await wait_for_leader(site)
         kill(site.relays.pop())
         for relay in site.relays:
-            await lease_with(relay, living=RELAYS - 1)
-        await check_keys_are_owned_once(site.relays)  # the keys of the dead relay have other owners
+            await wait_for_lease(relay, relay_count=RELAY_COUNT - 1)
+        await check_keys_are_owned_once(site.relays)  # the killed relay's keys have other owners
         assert not any(relay.logged('"attach.lease_expired"') for relay in site.relays)
-        # A control machine that is stopped sends its relays to the last one.
+        # A control machine that is stopped sends its relays to the last remaining one.
         name, stopped = site.machines.popitem()
         stopped.process.terminate()
         assert await stopped.process.wait() == 0
         assert stopped.logged("draining -> stopped")
         for relay in site.relays:
-            await attached_elsewhere(relay, name)
+            await wait_until_attached_elsewhere(relay, name)
 
 
 @async_test
@@ -185,7 +185,7 @@
         Discovery(server) as discovery,
         start_relay(tmp_path, discovery, PYTHONPROFILEIMPORTTIME="1") as relay,
     ):
-        assert relay.logged("violetdoor.fronts.line.front")  # what it does import is seen
+        assert relay.logged("violetdoor.fronts.line.front")  # imports are logged at all
         assert not relay.logged("violetdoor.control")
         assert not relay.logged("violetdoor.fleet")
 
@@ -209,24 +209,24 @@
     assert "3 living" in result.stdout
     result = await run_command("control", "status", "--json", "--console", console)
     status = orjson.loads(result.stdout)
-    assert status["living"] == RELAYS
-    assert status["group"]["size"] == len(MACHINES)
+    assert status["living"] == RELAY_COUNT
+    assert status["group"]["size"] == len(MACHINE_NAMES)
     assert (await machine.call("GET /healthcheck"))[0] == HTTPStatus.OK
     assert "svc.control_living:3|g" in (await machine.call("GET /stats"))[1]
 
 
 async def check_reload(site: ControlSite, name: str, machine: ControlMachine) -> None:
-    """Reload a file with a fault, and one that takes a restart, which change nothing; then a sound one."""
+    """Reload an invalid file and one that requires a restart, which are both rejected; then a valid one."""
     path = site.region.write_machine_file(name)
-    sound = path.read_text()
+    valid_text = path.read_text()
 
     async def reload(expected_line: str) -> None:
         logged_before = machine.logged(expected_line)
         machine.process.send_signal(signal.SIGHUP)
         await until(lambda: machine.logged(expected_line) > logged_before)
 
-    for broken in (sound[:-3], sound.replace('"region": "r1"', '"region": "r2"')):
-        path.write_text(broken)
+    for rejected_text in (valid_text[:-3], valid_text.replace('"region": "r1"', '"region": "r2"')):
+        path.write_text(rejected_text)
         await reload("reload failed")
     site.region.write_machine_file(name, limits={"sessions": 1})
     await reload("limits and addresses of regions are in force")
@@ -245,19 +245,19 @@
 
 
 async def check_upgrade(site: ControlSite) -> None:
-    """Replace the process of one relay: it goes on as the same run."""
+    """Replace the process of one relay; the new process continues the same run."""
     old, *others = site.relays
-    before = await fleet_status(old)
+    status_before = await fleet_status(old)
     async with site.region.running_relay("r0") as new:
         await new.healthy()
         await old.healthy(yes=False)
-        after = await lease_with(new, living=RELAYS)
-        assert after["instance"] == before["instance"]
-        assert after["attempt"] > before["attempt"]
+        status_after = await wait_for_lease(new, relay_count=RELAY_COUNT)
+        assert status_after["instance"] == status_before["instance"]
+        assert status_after["attempt"] > status_before["attempt"]
         assert not (await fleet_status(old))["may_act"]
-        await asyncio.gather(*(lease_with(relay, living=RELAYS) for relay in others))
+        await asyncio.gather(*(wait_for_lease(relay, relay_count=RELAY_COUNT) for relay in others))
         assert await old.stop() == 0
-        await lease_with(new, living=RELAYS)
+        await wait_for_lease(new, relay_count=RELAY_COUNT)
 
 
 @async_test
@@ -277,33 +277,33 @@
             *[stack.enter_async_context(region.running_relay(f"{region.name}-relay")) for region in regions]
         )
         for relay in relays:
-            status = await lease_with(relay, living=2)
+            status = await wait_for_lease(relay, relay_count=2)
             totals = {name: counts["total"] for name, counts in status["living"]["regions"].items()}
             assert totals == {"r1": 1, "r2": 1}
-        owners = {key: await owner_known_everywhere(relays, key) for key in "abcde"}
-        assert set(owners.values()) == {"r1-relay", "r2-relay"}  # by the names alone: always the same
-        # A region that is lost keeps its last count, with its age, and nobody here loses a lease.
+        owners = {key: await wait_for_common_owner(relays, key) for key in "abcde"}
+        assert set(owners.values()) == {"r1-relay", "r2-relay"}  # depends on the names only: deterministic
+        # A lost region keeps its last count, whose age grows, and no relay of the other loses its lease.
         kill(machines[1])
 
         async def lost_region_ages() -> bool:
-            status = await lease_with(relays[0], living=2)
+            status = await wait_for_lease(relays[0], relay_count=2)
             return bool(status["living"]["regions"]["r2"]["age_s"] >= 1.0)
 
         await eventually(lost_region_ages, STATE_TIMEOUT_SECONDS)
         assert machines[0].logged('"control.region_lost"')
 
 
-async def owner_known_everywhere(relays: list[Relay], key: str) -> str:
-    """Wait until all relays name the owner of a key, which some learn from their control machine."""
+async def wait_for_common_owner(relays: list[Relay], key: str) -> str:
+    """Wait until all relays know the owner of a key, some by a lookup at their control machine; return it."""
     owners: list[str] = []
 
-    async def is_known() -> bool:
+    async def is_known_everywhere() -> bool:
         answers = [await relay.call(f"GET /fleet/owner/{key}") for relay in relays]
         if any(status != HTTPStatus.OK for status, _ in answers):
             return False
         owners[:] = {text.strip() for _, text in answers}
         return True
 
-    await eventually(is_known)
+    await eventually(is_known_everywhere)
     (owner,) = owners
     return owner
