--- a/violetdoor/control/relay/attachment.py
+++ b/violetdoor/control/relay/attachment.py
@@ -84,8 +84,9 @@
         replicated_state = ReplicatedState(self._history, self.membership, self._map_sync)
         self._session = Session(replicated_state, self._lease, self._actions, self.counters, random)
         self._rejection_reason: RejectionReason | None = None
+        # When the next attempt starts, or the current one times out; infinite in other states.
         self._state_deadline = now + random.random() * MAX_START_DELAY_SECONDS
-        self._lookup_count = 0
+        self._lookup_count = 0  # number of the last lookup
 
     # Events of the connection.
 
@@ -304,11 +305,11 @@
 
     def status(self, now: float) -> AttachmentStatus:
         """Return the status for operators."""
-        is_idle = self.state in (AttachmentState.WAITING, AttachmentState.LEFT)
+        is_disconnected = self.state in (AttachmentState.WAITING, AttachmentState.LEFT)
         return AttachmentStatus(
             state=self.state,
             control_name=self._session.control_name,
-            control_address=None if is_idle else self._selector.current.address,
+            control_address=None if is_disconnected else self._selector.current.address,
             attempt=self.attempt,
             version=self._history.version,
             settled=self._history.settled,
--- a/violetdoor/control/relay/control_selection.py
+++ b/violetdoor/control/relay/control_selection.py
@@ -29,7 +29,7 @@
 # try. Returning keeps a restarted control machine from staying without sessions.
 INITIAL_RETURN_DELAY_SECONDS = 60.0
 MAX_RETURN_DELAY_SECONDS = 960.0
-# Jitter of the return delay: the delay is multiplied by a factor between this fraction and 1 plus it.
+# Jitter of the return delay: its factor is drawn between this fraction and 1 plus this fraction.
 MIN_RETURN_DELAY_FRACTION = 0.5
 
 
@@ -52,7 +52,7 @@
             ControlCandidate(address) for address in ranked_control_addresses(relay_name, addresses)
         ]
         self.current = self._candidates[0]  # the one with the session, or with the attempt to open one
-        self.return_at = math.inf  # when to try the preferred control machine in place of the current one
+        self.return_at = math.inf  # when to return to the preferred control machine; infinite: not planned
         self._previous: ControlCandidate | None = None  # had the session before a return was tried
         self._return_delay_seconds = INITIAL_RETURN_DELAY_SECONDS
 
--- a/violetdoor/control/relay/membership.py
+++ b/violetdoor/control/relay/membership.py
@@ -92,7 +92,7 @@
         self, count: RegionCount, idle_seconds: float, now: float
     ) -> RegionMemberCounts:
         age_seconds = count.age_seconds
-        if age_seconds > 0:  # the control machine had lost its session at that region
+        if age_seconds > 0:  # the control machine did not follow that region when it sent the count
             age_seconds += now - self._received_at[count.region]
         return _member_counts(count.zones, max(age_seconds, idle_seconds))
 
--- a/violetdoor/control/relay/session.py
+++ b/violetdoor/control/relay/session.py
@@ -57,7 +57,7 @@
 
 
 class Session:
-    """The state of one session, reset when the next one opens. Times are in the attachment's clock."""
+    """The state of one session, reset when the next one opens. Times: seconds of the attachment's clock."""
 
     def __init__(
         self,
