--- a/violetdoor/control/service.py
+++ b/violetdoor/control/service.py
@@ -150,7 +150,7 @@
         while len(self._cached_owners) > MAX_CACHED_OWNERS:
             del self._cached_owners[next(iter(self._cached_owners))]
 
-    def _look_up(self, key: str) -> None:
+    def _request_owner(self, key: str) -> None:
         """Request the owner from a control machine; the response is cached for later calls."""
         if key in self._pending_lookups.values():
             return
@@ -205,7 +205,7 @@
         owner = self.client.attachment.owner(key)
         if owner is None:
             owner = self._cached_owners.get(key)
-            self._look_up(key)
+            self._request_owner(key)
         if owner is None:
             return Answer(HTTPStatus.SERVICE_UNAVAILABLE, "owner not known yet, asking a control machine\n")
         return Answer(HTTPStatus.OK, f"{owner}\n")
--- a/violetdoor/control/session_requests.py
+++ b/violetdoor/control/session_requests.py
@@ -63,7 +63,7 @@
             case PutEntries():
                 self._put_entries(session, message, now)
             case Lookup() if len(message.key) <= MAX_LOOKUP_KEY_CHARACTERS:
-                self._sessions.send(session, self._look_up(message))
+                self._sessions.send(session, self._lookup_response(message))
             case Lookup():
                 self._sessions.drop(session, "unexpected", now)
             case Leave():
@@ -87,7 +87,7 @@
         if newer_here:
             self._sessions.send(session, Entries(tuple(newer_here)))
 
-    def _look_up(self, message: Lookup) -> LookupResponse:
+    def _lookup_response(self, message: Lookup) -> LookupResponse:
         plan = self._context.plan
         region = home_region(message.key, plan.regions)
         if region != plan.region:
