--- a/violetdoor/control/session_locations.py
+++ b/violetdoor/control/session_locations.py
@@ -44,7 +44,7 @@
         self.by_name: dict[str, SessionLocation] = {}
         self.pending = PendingChanges()
         self._replica = replica
-        self._departing: dict[str, None] = {}  # names of the relays whose removal is planned, in order
+        self._departing: dict[str, None] = {}  # ordered set of the relays whose removal is planned, by name
         self._ended: dict[RelayKey, EndedSession] = {}
 
     def orphan_all(self, now: float) -> None:
--- a/violetdoor/control/sessions.py
+++ b/violetdoor/control/sessions.py
@@ -70,7 +70,7 @@
     ) -> None:
         """Start without sessions."""
         self.counters: Counter[str] = Counter()  # names are in docs/oncall.md
-        self.by_number: OrderedDict[int, Session] = OrderedDict()  # in the order of their last messages
+        self.by_number: OrderedDict[int, Session] = OrderedDict()  # least recently active first
         self.by_name: dict[str, Session] = {}  # sessions of relays, by the relay's name
         self.watcher_count = 0
         self.admission = Admission(context, replica, leases, now)
@@ -253,7 +253,7 @@
             self.drop(session, "slow", now)
 
     def drop(self, session: Session, reason: str, now: float) -> None:
-        """Close a session that violated a rule; its relay is reported as if the connection had closed."""
+        """Close a session for a fault of its peer; its relay is reported as if the connection had closed."""
         values = {"source": session.source, "why": reason}
         self._emit(EmitEvent(events.CONTROL_SESSION_DROPPED, values))
         self.counters[f"closed_{reason}"] += 1
