--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("key", SAMPLES)
 def test_shorter_and_longer_arrays_are_read_as_recorded(key: str) -> None:
-    assert wire_forms.form(*SAMPLES[key]) == RECORDED["messages"][key]
+    assert wire_forms.encoded_forms(*SAMPLES[key]) == RECORDED["messages"][key]
 
 
 @pytest.mark.parametrize("key", [key for key in SAMPLES if "," not in key])
@@ -74,7 +74,7 @@
 def bodies() -> dict[Side, list[bytes]]:
     return {
         Side.CLIENT: [messages.encode(request) for request in control_samples.session_requests().values()],
-        Side.SERVER: [messages.encode(response) for response in control_samples.session_answers().values()],
+        Side.SERVER: [messages.encode(response) for response in control_samples.session_responses().values()],
     }
 
 
@@ -120,7 +120,7 @@
 def test_service_hands_over_the_recorded_text() -> None:
     sent: list[Message] = []
     service: Any = ControlService.__new__(ControlService)
-    service.client = SimpleNamespace(hand_over=control_samples.attachment_state)
+    service.client = SimpleNamespace(hand_over=control_samples.attachment_snapshot)
     service.host = SimpleNamespace(send_to_peer=sent.append)
     service.on_successor_accepting()
     assert sent == [ControlAttachment(handover_text())]
@@ -133,4 +133,4 @@
     service.handover_timer = None
     service.client = SimpleNamespace(is_open=False, start=started.append)
     service.on_message(ControlAttachment(handover_text()))
-    assert started == [control_samples.attachment_state()]
+    assert started == [control_samples.attachment_snapshot()]
--- a/violetdoor/control/session.py
+++ b/violetdoor/control/session.py
@@ -17,7 +17,7 @@
     last_received_at: float
     relay: Relay | None = None  # None: not a relay's session
     attempt: int = 0  # number of the relay's session, by its own count
-    watcher: str | None = None  # name of the control machine that watches this region; None: not a watcher's
+    watcher_name: str | None = None  # the control machine that watches this region; None: not a watcher
     sent_version: Version | None = None  # the roster that the peer has once it has read all messages
     version_at_attach: Version | None = None  # the roster that it had before; None once it was sent another
     in_flight_versions: deque[Version] = field(default_factory=deque)  # sent but not acknowledged
@@ -27,7 +27,7 @@
     @property
     def is_open(self) -> bool:
         """Whether the session was opened with `Welcome`."""
-        return self.relay is not None or self.watcher is not None
+        return self.relay is not None or self.watcher_name is not None
 
     def acknowledge(self, version: Version | None) -> None:
         """Record that the peer has applied all rosters up to `version`."""
