--- a/violetdoor/control/service.py
+++ b/violetdoor/control/service.py
@@ -207,5 +207,5 @@
             owner = self._cached_owners.get(key)
             self._request_owner(key)
         if owner is None:
-            return Answer(HTTPStatus.SERVICE_UNAVAILABLE, "owner not known yet, asking a control machine\n")
+            return Answer(HTTPStatus.SERVICE_UNAVAILABLE, "not known yet: a control machine is asked\n")
         return Answer(HTTPStatus.OK, f"{owner}\n")
