--- a/violetdoor/fleet/messages.py
+++ b/violetdoor/fleet/messages.py
@@ -1,11 +1,12 @@
-"""Wire messages between the relays of a fleet: msgpack arrays, which later versions extend at their ends.
+"""Wire messages between the relays of a fleet: msgpack arrays, to which later versions append fields.
 
-A reader skips values behind those that it knows, and a missing value has its default, so two versions
-understand each other as long as no field is removed or changes its meaning. `PROTOCOL_VERSION` counts such
-meanings: a relay speaks the lower one of its own and of what the other has last said that it understands.
+A reader ignores trailing fields that it does not know, and a missing field has its default, so two versions
+interoperate as long as no field is removed or changes its meaning. Such a change needs a new
+`PROTOCOL_VERSION`: a relay sends the lower of its own version and the highest that the recipient has last
+announced.
 
 The order of the fields and the tags are the wire format; the names of types and fields are not encoded.
-The state that outlives a process is in `violetdoor.fleet.stored_state`.
+State that is written to disk or handed to another process is in `violetdoor.fleet.stored_state`.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 
 from violetdoor.fleet.view import Peer, View, ViewChange, ViewId
 
-PROTOCOL_VERSION = 2  # spoken by this program
-MIN_PROTOCOL_VERSION = 1  # oldest one that is still understood
-ZONE_PROTOCOL_VERSION = 2  # first one whose packets carry the sender's zone
+PROTOCOL_VERSION = 2  # highest version that this program supports
+MIN_PROTOCOL_VERSION = 1  # lowest version that this program supports
+ZONE_PROTOCOL_VERSION = 2  # first version whose packets carry the sender's zone
 
-MAX_DATAGRAM_BYTES = 4096  # of a packet with its seal
-MAX_FRAME_BYTES = 1 << 20  # of one message over TCP: a view of 1,024 members and a full shared map
+MAX_DATAGRAM_BYTES = 4096  # size of a packet including its tag
+MAX_FRAME_BYTES = 1 << 20  # size of one TCP message: fits a view of 1,024 members and a full shared map
 MAX_RUMORS_PER_PACKET = 8
 MAX_MAP_UPDATES_PER_PACKET = 8
-# A packet whose messages take more bytes carries neither rumors nor updates of the shared map.
+# A packet whose messages are larger than this carries neither rumors nor updates of the shared map.
 MAX_PIGGYBACK_PAYLOAD_BYTES = 1024
-# Of an encoded view change, so that the packet that proposes it stays within `MAX_DATAGRAM_BYTES`.
+# Size of an encoded view change, chosen so that the packet that proposes it fits `MAX_DATAGRAM_BYTES`.
 MAX_CHANGE_BYTES = 2800
 
 # Values of `Rumor.state`.
@@ -37,25 +38,25 @@
 
 
 class Rumor(Struct, frozen=True, array_like=True):
-    """What a relay says of a member: alive or suspected in this incarnation, or certainly dead."""
+    """Gossip about a member: alive or suspected in this incarnation, or confirmed dead."""
 
     name: str
     instance: int
     incarnation: int
     state: int  # one of the RUMOR_... constants
-    reporter: str = ""  # who suspects it, or has the proof of its death
+    reporter: str = ""  # relay that suspects the member or has proof of its death
 
 
 class HybridTimestamp(Struct, frozen=True, array_like=True, order=True):
-    """A hybrid logical clock's timestamp (Kulkarni et al. 2014); unique, and ordered by its fields."""
+    """Unique timestamp of a hybrid logical clock (Kulkarni et al. 2014), ordered by its fields."""
 
     unix_ms: int
-    counter: int  # orders timestamps of one millisecond
-    relay: str  # whose clock it is; orders timestamps that are equal otherwise
+    counter: int  # orders timestamps of the same millisecond
+    relay: str  # owner of the clock; breaks ties between timestamps of two relays
 
 
 class MapEntry(Struct, frozen=True, array_like=True):
-    """One value of the shared map; a tombstone, where the value is None."""
+    """One entry of the shared map; a tombstone if the value is None."""
 
     key: str
     timestamp: HybridTimestamp
@@ -63,28 +64,28 @@
 
 
 class HeartbeatRound(Struct, frozen=True, array_like=True):
-    """A round of heartbeats, from which leases are derived. Both bitmaps are packed, see `bitmap`."""
+    """A heartbeat round, from which leases are derived. Both bitmaps are packed by `bitmap`."""
 
     number: int
-    starter: int  # index of the member that started it
-    joined: bytes  # members that have joined it
-    joined_previous: bytes  # members that its starter had seen join the round before it
+    starter: int  # index of the member that started the round
+    joined: bytes  # bitmap of the members known to have joined the round
+    joined_previous: bytes  # bitmap of the members that the starter knew to have joined the previous round
 
 
 # Failure detection (SWIM).
 
 
 class Ping(Struct, frozen=True, array_like=True, tag=1):
-    """Ask a relay for an `Ack`; `instance` is the one that is addressed, 0 for any."""
+    """Request an `Ack` from a relay; `instance` is the addressed instance, or 0 for any."""
 
     seq: int
     instance: int = 0
 
 
 class Ack(Struct, frozen=True, array_like=True, tag=2):
-    """Answer a `Ping`. `instance` is the sender's: a different one proves that the addressed one is dead.
+    """Answer a `Ping`. `instance` is the sender's own, or 0 if a helper relays the answer.
 
-    It is 0 in an answer that a helper relays.
+    An instance other than the addressed one proves that the addressed one is dead.
     """
 
     seq: int
@@ -99,7 +100,7 @@
 
 
 class Nack(Struct, frozen=True, array_like=True, tag=4):
-    """Tell the sender of a `PingRequest` that the target has not answered, but this helper is reachable."""
+    """Answer a `PingRequest` whose target has not responded; shows that the helper itself is reachable."""
 
     seq: int
 
@@ -108,16 +109,16 @@
 
 
 class PreVoteRequest(Struct, frozen=True, array_like=True, tag=10):
-    """Ask whether a member would agree to this change, which binds nobody (Raft's pre-vote)."""
+    """Ask whether a member would agree to a change (Raft's pre-vote); the answer is not binding."""
 
     base: ViewId
-    pre_vote_number: int  # counts the pre-votes of the proposer on this view
+    pre_vote_number: int  # counts the proposer's pre-votes in this view
     change: ViewChange
-    ended_indexes: tuple[int, ...] = ()  # members of which a later instance has answered
+    ended_indexes: tuple[int, ...] = ()  # members whose instance is proven to have ended
 
 
 class PreVoteResponse(Struct, frozen=True, array_like=True, tag=11):
-    """Name the members among the change's dead that the sender hears; none of them means agreement."""
+    """List the members that the change removes as dead but the sender sees alive; empty means agreement."""
 
     base: ViewId
     pre_vote_number: int  # of the request
@@ -125,23 +126,23 @@
 
 
 class Prepare(Struct, frozen=True, array_like=True, tag=12):
-    """Ask for a promise to take part in no lower ballot."""
+    """Request a promise not to take part in any lower ballot."""
 
     base: ViewId
     ballot: int
 
 
 class Promise(Struct, frozen=True, array_like=True, tag=13):
-    """Promise it, and report the highest ballot in which the sender accepted a change, and that change."""
+    """Answer a `Prepare`; report the highest ballot in which the sender accepted a change, and the change."""
 
     base: ViewId
     ballot: int
-    accepted_ballot: int  # -1 if there was none
+    accepted_ballot: int  # -1 if the sender has accepted no change
     accepted_change: ViewChange | None
 
 
 class Accept(Struct, frozen=True, array_like=True, tag=14):
-    """Ask to accept this change."""
+    """Request that the recipient accept a change in this ballot."""
 
     base: ViewId
     ballot: int
@@ -156,7 +157,7 @@
 
 
 class Rejected(Struct, frozen=True, array_like=True, tag=16):
-    """Reject a ballot, as the sender has promised a higher one."""
+    """Reject a ballot because the sender has promised a higher one."""
 
     base: ViewId
     ballot: int
@@ -174,17 +175,17 @@
 
 
 class JoinRequest(Struct, frozen=True, array_like=True, tag=20):
-    """Ask the members that may propose a change to let a relay join.
+    """Ask the members that may propose a change to admit a relay.
 
-    Forwarded by the member that the relay asked; or sent by the relay itself, where an earlier instance of it
-    is in the view.
+    Forwarded by the member that received the relay's `Hello`, or sent by the relay itself if the view
+    contains an earlier instance of it.
     """
 
     peer: Peer
 
 
 class Leave(Struct, frozen=True, array_like=True, tag=21):
-    """Announce that the sender leaves the fleet, and acts no more."""
+    """Announce that the sender leaves the fleet and no longer acts as a member."""
 
 
 AgreementMessage = (
@@ -194,34 +195,33 @@
 
 
 class Packet(Struct, array_like=True):
-    """One datagram: who sends it to whom, where the sender stands, and its messages."""
+    """One datagram: sender, recipient, the sender's state, and messages."""
 
-    version: int  # that the packet is written in
-    max_version: int  # that the sender understands
+    version: int  # protocol version of this packet
+    max_version: int  # highest protocol version that the sender supports
     sender: str
     sender_instance: int
     recipient: str
-    recipient_instance: int  # 0 where the sender does not know it
-    # Number of the packet among its sender's; one that came before, or is older than a window, is dropped.
+    recipient_instance: int  # 0 if the sender does not know it
+    # Counts the sender's packets; a packet that repeats a number or is behind the replay window is dropped.
     sequence: int
-    view: ViewId | None  # that the sender stands at
-    view_size: int  # members of that view
+    view: ViewId | None  # the sender's current view; None if it has none
+    view_size: int  # number of members of that view
     has_lease: bool  # whether the sender holds a lease
-    incarnation: int  # of the sender, by which it refutes suspicions
+    incarnation: int  # the sender's SWIM incarnation, which refutes suspicions of lower ones
     heartbeat_round: HeartbeatRound | None
-    map_digest: int  # of the sender's shared map
+    map_digest: int  # digest of the sender's shared map
     rumors: tuple[Rumor, ...] = ()
     map_updates: tuple[MapEntry, ...] = ()
     messages: tuple[Message, ...] = ()
-    # Since version 2.
-    zone: str = ""
+    zone: str = ""  # the sender's zone, since version 2
 
 
-# Over TCP: one request and one response to a connection.
+# Messages over TCP: one request and one response per connection.
 
 
 class Hello(Struct, frozen=True, array_like=True, tag=1):
-    """Ask to join."""
+    """Ask the recipient to admit the sender to the fleet."""
 
     peer: Peer
     is_founder: bool  # whether the sender may found an epoch
@@ -229,7 +229,7 @@
 
 
 class SyncRequest(Struct, frozen=True, array_like=True, tag=2):
-    """Ask for the recipient's view and shared map; carries the sender's position and its shared map."""
+    """Request the recipient's view and shared map; carries the sender's view number and map entries."""
 
     peer: Peer
     view: ViewId | None
@@ -239,21 +239,21 @@
 
 
 class TcpPing(Struct, frozen=True, array_like=True, tag=3):
-    """Ask for a `TcpAck`, as datagrams may be lost."""
+    """Request a `TcpAck`; used besides `Ping` because datagrams may be lost."""
 
     instance: int
 
 
 class EpochVoteRequest(Struct, frozen=True, array_like=True, tag=4):
-    """Ask for a vote for an epoch that begins with this view."""
+    """Request a vote for an epoch that begins with this view."""
 
     view: View
-    base: ViewId | None  # the view that its survivors had, if any
-    forced: bool = False  # by an operator
+    base: ViewId | None  # last view of the members that continue; None if there was no earlier view
+    forced: bool = False  # whether an operator forces the epoch without a majority
 
 
 class OpenStream(Struct, frozen=True, array_like=True, tag=5):
-    """Open a stream: from now on this connection carries messages of one channel, from this instance."""
+    """Turn this connection into a stream of messages from the given instance on one channel."""
 
     name: str
     instance: int
@@ -264,7 +264,7 @@
 
 
 class StateSnapshot(Struct, frozen=True, array_like=True, tag=1):
-    """The view that the sender stands at, whether it holds a lease, and all entries of the shared map."""
+    """The sender's current view, whether it holds a lease, and all entries of its shared map."""
 
     view: View | None
     has_lease: bool
@@ -272,17 +272,18 @@
 
 
 class JoinRejected(Struct, frozen=True, array_like=True, tag=2):
-    """Tell a relay that it does not join, or not yet, and why.
+    """Tell a relay that it is not admitted, or not yet.
 
-    A living relay has the name, the relay joined too recently, the view is full, no majority is reached; or
-    the join is in progress.
+    Reasons: "name": a running relay has the same name; "held": the relay rejoined too recently; "full": the
+    view has no room; "stale": the sender holds no lease, as it reaches no majority; "pending": the join is in
+    progress.
     """
 
     reason: Literal["name", "held", "full", "stale", "pending"]
 
 
 class NotAMember(Struct, frozen=True, array_like=True, tag=3):
-    """Tell a relay that asks to join that the sender is in no view either."""
+    """Answer the `Hello` of a relay if the sender is in no view either."""
 
     peer: Peer
     is_founder: bool  # whether the sender may found an epoch
@@ -290,7 +291,7 @@
 
 
 class TcpAck(Struct, frozen=True, array_like=True, tag=4):
-    """Answer a `TcpPing` or an `OpenStream`. `instance` is the sender's."""
+    """Answer a `TcpPing` or an `OpenStream`. `instance` is the sender's own."""
 
     instance: int
 
