--- a/violetdoor/fleet/replay.py
+++ b/violetdoor/fleet/replay.py
@@ -1,22 +1,22 @@
-"""Protection of a sender's packets against replays. Without input or output."""
+"""Detection of replayed packets of a sender. Does no I/O."""
 
 from __future__ import annotations
 
-WINDOW_PACKETS = 1024  # how far behind the newest a packet may come; a sender sends some tens a second
+WINDOW_PACKETS = 1024  # how late a packet may arrive; a sender sends some tens of packets per second
 
 
 class ReplayWindow:
-    """The sequence numbers received from one sender: each once, none too old (RFC 4303, 3.4.3)."""
+    """Sliding window that accepts each of a sender's recent sequence numbers once (RFC 4303, 3.4.3)."""
 
     __slots__ = ("bits", "newest")
 
     def __init__(self, newest: int = -1) -> None:
-        """Begin after `newest`: whatever came before it counts as received; -1 where nothing did."""
+        """Count all sequence numbers up to `newest` as received; -1 if none were."""
         self.newest = newest
-        self.bits = 0 if newest < 0 else (1 << WINDOW_PACKETS) - 1  # bit n: newest - n was received
+        self.bits = 0 if newest < 0 else (1 << WINDOW_PACKETS) - 1  # bit n: `newest - n` was received
 
     def accept(self, sequence: int) -> bool:
-        """Return whether this number is new; it counts as received from now on."""
+        """Return whether this number is new, and mark it as received."""
         ahead = sequence - self.newest
         if ahead > 0:
             if ahead >= WINDOW_PACKETS:
