--- a/violetdoor/fleet/calls.py
+++ b/violetdoor/fleet/calls.py
@@ -1,7 +1,7 @@
-"""Calls between relays over TCP: one connection, one request, one response.
+"""Calls between relays over TCP: one request and one response per connection.
 
-A connection begins with a nonce of each side. Request and response are signed with both, so that neither
-can be replayed on another connection.
+A connection begins with a nonce from each side. Request and response are signed with both nonces, so that
+neither can be replayed on another connection.
 """
 
 from __future__ import annotations
@@ -29,21 +29,21 @@
 
 log = logging.getLogger("violetdoor.fleet")
 
-MAX_INBOUND_CALLS = 64  # served at a time
-MAX_INBOUND_STREAMS = MAX_MEMBERS + 64  # one of each member, and some of instances that have ended
-SERVE_TIMEOUT_SECONDS = 1.0  # that a caller has for its request and the response
-ACCEPT_RETRY_DELAY_SECONDS = 0.05  # after an accept that failed, for want of descriptors mostly
-REQUEST_CONTEXT = b"asked"  # before both nonces, under the tag of a request
-RESPONSE_CONTEXT = b"answered"  # and of a response
+MAX_INBOUND_CALLS = 64  # calls served concurrently
+MAX_INBOUND_STREAMS = MAX_MEMBERS + 64  # one stream per member, and spare ones for instances that have ended
+SERVE_TIMEOUT_SECONDS = 1.0  # for reading the request and writing the response of a call
+ACCEPT_RETRY_DELAY_SECONDS = 0.05  # after a failed accept, mostly caused by a lack of file descriptors
+REQUEST_CONTEXT = b"asked"  # precedes both nonces in the signing context of a request
+RESPONSE_CONTEXT = b"answered"  # precedes both nonces in the signing context of a response
 
-MessageHandler = Callable[[str, int, bytes], None]  # the sender's name and instance, and the message
+MessageHandler = Callable[[str, int, bytes], None]  # arguments: sender's name, sender's instance, message
 
 
 class CallResponse(NamedTuple):
     """The response to a request, and the connection's nonces."""
 
-    binding: bytes  # the nonces of both sides: what follows on this connection is signed with them
-    answer: Response
+    binding: bytes  # nonces of both sides, with which all further frames of the connection are signed
+    response: Response
 
 
 async def send_request(
@@ -51,8 +51,8 @@
 ) -> CallResponse:
     """Send a request on a new connection and read the response.
 
-    Raises OSError or EOFError where the connection fails, and ValueError (FrameError, and msgspec's errors)
-    where what comes is no response.
+    Raises OSError or EOFError if the connection fails, and ValueError (FrameError or a msgspec error) if the
+    bytes received are not a valid response.
     """
     frames = FrameSocket(sock, authenticator)
     binding = await frames.exchange_nonces_as_client()
@@ -62,7 +62,7 @@
 
 
 class CallServer:
-    """Accepts connections, responds to one request on each, and reads the streams that some become."""
+    """Accepts connections, answers one request on each, and reads those that become streams."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         counts: Counter[str],
         spawn: Callable[[Coroutine[Any, Any, None]], None],
     ) -> None:
-        """Run each connection by `spawn`; `channel_handlers` take the messages of streams, by channel."""
+        """Run each connection as a task of `spawn`; `channel_handlers` get stream messages, by channel."""
         self.authenticator = authenticator
         self.channel_handlers = channel_handlers
         self.counts = counts
@@ -80,13 +80,13 @@
         self.inbound_streams = 0
 
     async def serve(self, listener: socket.socket, respond: Callable[[Request], Response | None]) -> None:
-        """Accept connections until cancelled; `respond` returns None where the caller gets no response."""
+        """Accept connections until cancelled; `respond` returns None if the caller gets no response."""
         loop = asyncio.get_running_loop()
         while True:
             try:
                 sock, _ = await loop.sock_accept(listener)
             except OSError as error:
-                log.warning("accept failed: %s", error)
+                log.warning("accept failed on the fleet's TCP socket: %s", error)
                 await asyncio.sleep(ACCEPT_RETRY_DELAY_SECONDS)
                 continue
             if self.inbound_calls >= MAX_INBOUND_CALLS or self.inbound_streams >= MAX_INBOUND_STREAMS:
@@ -99,7 +99,7 @@
     async def _serve_connection(
         self, sock: socket.socket, respond: Callable[[Request], Response | None]
     ) -> None:
-        """Respond to the request of a connection, and read its stream, if it becomes one."""
+        """Answer the request of a connection, and read its messages if it becomes a stream."""
         try:
             sock.setblocking(False)
             frames = FrameSocket(sock, self.authenticator)
@@ -112,7 +112,7 @@
                     await frames.write_frame(encode(response), RESPONSE_CONTEXT + binding)
             if isinstance(request, OpenStream) and handler is not None:
                 await self._read_stream(sock, request, binding, handler)
-        except ValueError:  # FrameError, and msgspec's
+        except ValueError:  # base class of FrameError and of msgspec's errors
             self.counts["dropped_call"] += 1
         except (OSError, EOFError):
             self.counts["calls_broke"] += 1
@@ -121,7 +121,7 @@
             close_socket(sock)
 
     def _stream_handler(self, request: Request) -> MessageHandler | None:
-        """Return who takes the messages of a stream; None where the request opens none, or on no channel."""
+        """Return the handler of a stream's messages; None for another request or an unknown channel."""
         if isinstance(request, OpenStream):
             return self.channel_handlers.get(request.channel)
         return None
@@ -129,8 +129,8 @@
     async def _read_stream(
         self, sock: socket.socket, opening: OpenStream, binding: bytes, handler: MessageHandler
     ) -> None:
-        """Pass a stream's messages on until it ends."""
-        self.inbound_calls -= 1  # a stream stays open: streams are bounded by the members
+        """Pass a stream's messages to its handler until the stream ends."""
+        self.inbound_calls -= 1  # a stream is long-lived: `MAX_INBOUND_STREAMS` limits streams
         self.inbound_streams += 1
         loop = asyncio.get_running_loop()
         reader = FrameReader(self.authenticator, stream_context(binding))
--- a/violetdoor/fleet/endpoint.py
+++ b/violetdoor/fleet/endpoint.py
@@ -1,8 +1,8 @@
-"""A fleet node on real sockets: what the program uses of the fleet.
+"""A fleet node on real sockets: the interface between the program and the fleet.
 
-One UDP and one TCP socket at one address. The endpoint drives a `Node`: it passes on what comes from the
-sockets and the timer, and carries out the actions that the node wants. `datagrams`, `calls` and
-`durable_output` do the work on the sockets and on the state file.
+The endpoint has one UDP and one TCP socket at the same address. It drives a `Node`: it passes input from the
+sockets and the timer to the node, and carries out the node's actions. `datagrams`, `calls` and
+`durable_output` access the sockets and the state file.
 """
 
 from __future__ import annotations
@@ -43,9 +43,10 @@
 
 log = logging.getLogger("violetdoor.fleet")
 
-MAX_TIMER_SECONDS = 60.0  # the event loop's clock may stop while the machine sleeps, the node's does not
+# Upper bound of a timer: the event loop's clock may stop while the machine sleeps, the node's clock does not.
+MAX_TIMER_SECONDS = 60.0
 RANDOM_SEED_BYTES = 16
-# Counters of events in the console's `GET /fleet` whose names are older than those of the events.
+# Events whose counter in the console's `GET /fleet` keeps an older name.
 EVENT_COUNTERS = {
     events.FLEET_LEASE_ACQUIRED: "fleet.live",
     events.FLEET_LEASE_EXPIRED: "fleet.stale",
@@ -60,13 +61,14 @@
 
 
 class FleetEndpoint:
-    """A member of the fleet, on sockets.
+    """A member of the fleet on real sockets.
 
-    `view`, `may_act()`, `owns()` and the listeners are what the program relies on. It is started once, and
-    ends by `close`, `stop` or `hand_over`.
+    The program uses `view`, `may_act()`, `owns()` and the listeners. An endpoint is started once, and ended
+    by `close`, `stop` or `hand_over`.
     """
 
-    udp: socket.socket  # both sockets are opened by `start`
+    # `start` opens both sockets.
+    udp: socket.socket
     tcp: socket.socket
 
     def __init__(
@@ -79,10 +81,10 @@
         routes: dict[str, Address] | None = None,
         clock: Callable[[], float] = boot_time,
     ) -> None:
-        """Keep what `start` needs.
+        """Create an endpoint; `start` opens its sockets.
 
-        `key` is the fleet's shared key; `state_path` is the file of the durable state, if there is to be one;
-        `routes` are the addresses at which single relays are reached from here, by name, if not at their own.
+        `key` is the fleet's shared key. `state_path` is the file of the durable state; None if no state is
+        kept. `routes` override the addresses of individual relays, by name.
         """
         self.config = config
         self.bind_address = bind_address
@@ -92,10 +94,10 @@
         self.routes = routes or {}
         self.counts: Counter[str] = Counter()
         self.view_listeners: list[ViewListener] = []
-        self.entry_listeners: list[EntryListener] = []  # of the shared map
-        self.channel_handlers: dict[str, MessageHandler] = {}  # of streams' messages, by channel
+        self.entry_listeners: list[EntryListener] = []  # called when an entry of the shared map changes
+        self.channel_handlers: dict[str, MessageHandler] = {}  # handlers of stream messages, by channel
         self.on_active_relays: Callable[[int | None], None] = _ignore_active_relays
-        self.on_step: Callable[[], None] = _ignore_step  # after each step of the node, before its actions
+        self.on_step: Callable[[], None] = _ignore_step  # called after each node step, before its actions
         self.active_relays: int | None = None
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
@@ -128,11 +130,11 @@
         udp: socket.socket | None = None,
         tcp: socket.socket | None = None,
     ) -> None:
-        """Open the state file and the sockets, and continue as `handover` or the file says.
+        """Open the state file and the sockets, and continue from `handover` or else from the state file.
 
-        Take over the previous process' sockets, if they were handed over: then there was no moment in which
-        another relay's call was refused, which would be taken for this one's death. Raises StateFileError or
-        OSError, with nothing left open but those.
+        `udp` and `tcp` are the previous process' sockets, if inherited. Reusing them leaves no moment at
+        which calls are refused, which other relays would take for the death of this one. Raises
+        StateFileError or OSError; whatever was opened is closed then, except for the inherited sockets.
         """
         with contextlib.ExitStack() as cleanup:
             state_file: StateFile | None = None
@@ -157,34 +159,34 @@
             self.node = self._make_node(durable_state)
         self.loop.add_reader(self.udp, self._read_datagrams)
         self._task_owner.spawn(self._call_server.serve(self.tcp, self._respond))
-        self._carry_out()
+        self._execute_actions()
         if self.view is not None:
             self.joined.set()
             self._notify_view(self.view)
 
     def _bind(self) -> None:
-        """Open both sockets at one port."""
+        """Open both sockets at the same port."""
         self.udp = bind_datagram_socket(self.bind_address)
         with contextlib.ExitStack() as cleanup:
             cleanup.callback(self.udp.close)
             self.tcp = listen((self.bind_address[0], self.udp.getsockname()[1]))
             cleanup.pop_all()
 
-    # What the program uses.
+    # Interface for the program.
 
     @property
     def view(self) -> View | None:
-        """The view that this relay is a member of."""
+        """The view that this relay is a member of, if any."""
         return self.node.view if self.node.state is MemberState.MEMBER else None
 
     @property
     def local_peer(self) -> Peer:
-        """The relay itself as a member: its address and its present instance."""
+        """The relay's own identity: its address and its present instance."""
         return self.node.local_peer
 
     @property
     def tasks(self) -> set[asyncio.Task[None]]:
-        """The tasks that run; they end after `stop`."""
+        """The running tasks; `stop` cancels them."""
         return self._task_owner.tasks
 
     def may_act(self) -> bool:
@@ -196,56 +198,56 @@
         return self.node.owns(key, self.clock())
 
     def set_entry(self, key: str, value: float | None) -> bool:
-        """Set a value of the shared map, None to remove it; return False where the map is full."""
+        """Set an entry of the shared map, or remove it by None; return False if the map is full."""
         if not self.is_open:
-            return True  # the process that continues as this member gets it in the upgrade's messages
+            return True  # in an upgrade, the process that is the member now gets the entry by other messages
         accepted = self.node.set_entry(key, value, self.clock())
-        self._carry_out()
+        self._execute_actions()
         return accepted
 
     def merge_entries(self, entries: Iterable[MapEntry]) -> None:
-        """Merge entries that were set elsewhere; the other members receive them with the next packets."""
+        """Merge entries from elsewhere into the shared map; packets propagate them to the other members."""
         size = 1 if self.node.view is None else len(self.node.view.members)
         self.node.map.merge(entries, unix_time_ms(), size)
-        self._carry_out()
+        self._execute_actions()
 
     def force_epoch(self) -> None:
-        """Begin an epoch without a majority. Raises ForceRefusedError where a majority is reached."""
+        """Start a new epoch without a majority. Raises ForceRefusedError if a majority is reachable."""
         self.node.force_epoch(self.clock())
-        self._carry_out()
+        self._execute_actions()
 
     def leave(self) -> None:
         """Leave the fleet by this relay's own decision."""
         self.node.leave(self.clock())
-        self._carry_out()  # which reports that the number of active relays is unknown from now on
+        self._execute_actions()  # also reports that the number of active relays is unknown now
         self._notify_view(None)
 
     async def wait_until_joined(self, max_wait: float) -> bool:
-        """Wait until this relay is in a view and has the shared map; False after `max_wait` seconds."""
+        """Wait until this relay is in a view and has the shared map; return False after `max_wait` s."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max_wait):
                 await self.joined.wait()
         return self.joined.is_set()
 
     def status(self) -> FleetStatus:
-        """Return what operators see."""
+        """Return the status that is shown to operators."""
         return self.node.status(self.counts, self.clock())
 
     async def send_request(self, sock: socket.socket, request: Request) -> CallResponse:
-        """Send a request on a new connection. Raises OSError, EOFError or ValueError where that fails."""
+        """Send a request on a new connection. Raises OSError, EOFError or ValueError on failure."""
         return await send_request(sock, request, self.authenticator)
 
-    # The end.
+    # Shutdown.
 
     async def close(self) -> None:
-        """Leave the fleet, if that was not done, and close all sockets."""
+        """Leave the fleet, unless that was done before, and close all sockets."""
         if self.is_open and self.node.state is not MemberState.LEFT:
             self.leave()
         self.stop()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def stop(self) -> None:
-        """End without notifying anybody: another process of this relay continues as the member, or none."""
+        """Close everything without notifying the fleet; another process may continue as the member."""
         if not self.is_open:
             return
         self.is_open = False
@@ -258,37 +260,37 @@
         self._output.close()
 
     def hand_over(self) -> HandoverState | None:
-        """Stop, and return the state for the process that continues as this member; None if not open."""
+        """Stop, and return the state for the process that continues as the member; None if not open."""
         if not self.is_open:
             return None
         handover = self.node.export_state()
         self.stop()
         return handover
 
-    # Driving the node.
+    # Input and output of the node.
 
     def _wake(self) -> None:
         self.node.wake(self.clock())
-        self._carry_out()
+        self._execute_actions()
 
     def _read_datagrams(self) -> None:
         self._datagrams.read(self.udp)
-        self._carry_out()
+        self._execute_actions()
 
     def _receive_packet(self, packet: Packet, source: Address) -> None:
         self.node.receive(packet, source, self.clock())
 
     def _respond(self, request: Request) -> Response | None:
-        """Return the response to another relay's request; None where it gets none."""
+        """Return the response to another relay's request; None if it gets none."""
         if isinstance(request, OpenStream):
             has_handler = request.channel in self.channel_handlers
             return TcpAck(self.node.local_peer.instance) if has_handler else None
         response = self.node.handle_request(request, self.clock())
-        self._carry_out()
+        self._execute_actions()
         return response
 
-    def _carry_out(self) -> None:
-        """Carry out the node's actions, report its events, and plan its next wake-up."""
+    def _execute_actions(self) -> None:
+        """Carry out the node's actions, report its events, and schedule its next wake-up."""
         if not self.is_open:
             return
         self.on_step()
@@ -319,7 +321,7 @@
         self.timer = self.loop.call_later(delay, self._wake)
 
     def _emit(self, event: Event) -> None:
-        """Log and count an event, and notify listeners of a view; a rejection is reported once in a row."""
+        """Log and count an event, and notify view listeners; consecutive equal rejections are skipped."""
         name = event.name
         values = event.values
         if name == events.FLEET_JOIN_REJECTED:
@@ -349,34 +351,34 @@
         for call in actions.calls:
             self._task_owner.spawn(self._call(call))
 
-    # Calls of the node.
+    # Calls to other relays.
 
     async def _call(self, call: Call) -> None:
-        """Make a call and pass its response on, or that there is none."""
+        """Make a call and pass the response, or None if it fails, to the node."""
         response: Response | None = None
         refused = False
         try:
             async with asyncio.timeout(call.timeout):
-                response = await self._request(call)
+                response = await self._send_call_request(call)
         except ConnectionRefusedError:
             refused = True
         except (OSError, EOFError, ValueError):  # FrameError and msgspec's are ValueErrors
             pass
         if self.is_open:
             failed = 1 if response is None else 0
-            self.counts["calls_failed"] += failed  # also by 0: operators see the counter from the first call
+            self.counts["calls_failed"] += failed  # adding 0 makes the counter visible from the first call
             self.node.handle_answer(call.number, response, self.clock(), refused=refused)
-            self._carry_out()
+            self._execute_actions()
 
-    async def _request(self, call: Call) -> Response:
+    async def _send_call_request(self, call: Call) -> Response:
         sock = await connect(self._route(call.address), call.timeout)
         try:
-            return (await self.send_request(sock, call.request)).answer
+            return (await self.send_request(sock, call.request)).response
         finally:
             close_socket(sock)
 
     def _route(self, address: Address) -> Address:
-        """Return where an address is reached from here."""
+        """Return the configured route to the member at an address, or else the address itself."""
         if self.node.view is not None:
             for peer in self.node.view.members:
                 if peer.address == address and peer.name in self.routes:
@@ -385,8 +387,8 @@
 
 
 def _ignore_active_relays(_count: int | None) -> None:
-    """Do nothing: the default where nobody wants to know."""
+    """Do nothing; the default of `on_active_relays`."""
 
 
 def _ignore_step() -> None:
-    """Do nothing: the default where nobody wants to know."""
+    """Do nothing; the default of `on_step`."""
--- a/violetdoor/fleet/streams.py
+++ b/violetdoor/fleet/streams.py
@@ -1,8 +1,9 @@
-"""Messages of other parts from relay to relay: one TCP stream in each direction, opened when first used.
+"""Message streams between relays for other components: one TCP connection per direction, opened on first use.
 
-A stream begins as a call does, with a nonce of each side; each message is signed with both and its number,
-so that none can be left out, repeated or moved to another stream unseen. What is queued for a relay that
-cannot be reached is dropped, and `on_connection_refused` is called: the user of a channel sends again.
+A stream begins like a call, with a nonce from each side. Each message is signed with both nonces and its
+sequence number, so that an omitted, repeated or moved message is detected. Messages queued for a relay that
+cannot be reached are dropped, and `on_connection_refused` is called if its port is closed: the user of a
+channel has to send them again.
 """
 
 from __future__ import annotations
@@ -21,23 +22,23 @@
 from violetdoor.fleet.view import Address, Peer, View
 from violetdoor.net.sockets import close_socket, connect
 
-MAX_QUEUED_BYTES = 4 << 20  # that wait for one relay; beyond it nothing more is accepted
-MAX_BATCH_BYTES = 256 * 1024  # joined into one write
-CONNECT_TIMEOUT_SECONDS = 0.5  # for the TCP connection, and again for the call that opens the stream
-WRITE_TIMEOUT_SECONDS = 2.0  # in which the other relay must have read a batch
-IDLE_TIMEOUT_SECONDS = 30.0  # without a message, after which a stream is closed
-RETRY_DELAY_SECONDS = 0.1  # between two attempts to reach a relay
+MAX_QUEUED_BYTES = 4 << 20  # queued for one relay; messages beyond this limit are rejected
+MAX_BATCH_BYTES = 256 * 1024  # no frame is added to a write that has reached this size
+CONNECT_TIMEOUT_SECONDS = 0.5  # for connecting, and again for the call that opens the stream
+WRITE_TIMEOUT_SECONDS = 2.0  # for writing one batch; it is exceeded if the other relay does not read
+IDLE_TIMEOUT_SECONDS = 30.0  # a stream is closed after this time without a message
+RETRY_DELAY_SECONDS = 0.1  # minimum time between two attempts to reach a relay
 
 
 class StreamKey(NamedTuple):
-    """The relay that a stream goes to."""
+    """The relay instance that a stream is opened to."""
 
     name: str
     instance: int
 
 
 class StreamHost(Protocol):
-    """The relay whose streams these are."""
+    """Interface of the relay that owns the streams."""
 
     authenticator: MessageAuthenticator
     routes: dict[str, Address]
@@ -45,21 +46,21 @@
 
     @property
     def view(self) -> View | None:
-        """The view that it is a member of."""
+        """The view that the relay is a member of, if any."""
 
     @property
     def local_peer(self) -> Peer:
-        """The relay itself as a member."""
+        """The relay's own identity as a member."""
 
     async def send_request(self, sock: socket.socket, request: Request) -> CallResponse:
         """Send a request on a new connection."""
 
 
 class OutgoingStream:
-    """The stream to one instance of one relay."""
+    """The stream to one relay instance."""
 
     def __init__(self, channel: StreamChannel, key: StreamKey, address: Address) -> None:
-        """Prepare a stream of a channel; `run` opens it."""
+        """Create a stream of a channel; `run` opens it."""
         self.channel = channel
         self.key = key
         self.address = address
@@ -68,7 +69,7 @@
         self.message_queued = asyncio.Event()
 
     def enqueue(self, message: bytes) -> bool:
-        """Queue a message; return False where the queue is full."""
+        """Queue a message; return False if the queue is full."""
         if self.queued_bytes + len(message) > MAX_QUEUED_BYTES:
             return False
         self.queue.append(message)
@@ -77,7 +78,7 @@
         return True
 
     async def run(self) -> None:
-        """Open the stream and write messages until it is idle for long, or the connection fails."""
+        """Open the stream and write messages until it is idle for too long or the connection fails."""
         counts = self.channel.counts
         try:
             sock = await connect(self.address, CONNECT_TIMEOUT_SECONDS)
@@ -99,27 +100,27 @@
             close_socket(sock)
 
     async def _open(self, sock: socket.socket) -> bytes | None:
-        """Open the stream; return its binding, or None where another instance or no channel is there."""
+        """Open the stream; return its binding, or None if an instance other than the expected one answers."""
         host = self.channel.host
         request = OpenStream(host.local_peer.name, host.local_peer.instance, self.channel.name)
         async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
-            response = await host.send_request(sock, request)
-        answer = response.answer
-        if not isinstance(answer, TcpAck) or answer.instance != self.key.instance:
+            call_response = await host.send_request(sock, request)
+        response = call_response.response
+        if not isinstance(response, TcpAck) or response.instance != self.key.instance:
             return None
-        return response.binding
+        return call_response.binding
 
     async def _write_messages(self, sock: socket.socket, binding: bytes) -> None:
         loop = asyncio.get_running_loop()
         writer = FrameWriter(self.channel.host.authenticator, stream_context(binding))
         while await self._wait_for_message():
-            batch = self._take_batch(writer)
+            batch = self._dequeue_batch(writer)
             self.channel.counts["bytes_out"] += len(batch)
             async with asyncio.timeout(WRITE_TIMEOUT_SECONDS):
                 await loop.sock_sendall(sock, batch)
 
     async def _wait_for_message(self) -> bool:
-        """Wait until a message is queued; return False where none comes for long."""
+        """Wait until a message is queued; return False after `IDLE_TIMEOUT_SECONDS` without one."""
         if self.queue:
             return True
         self.message_queued.clear()
@@ -130,8 +131,8 @@
             return False
         return True
 
-    def _take_batch(self, writer: FrameWriter) -> bytearray:
-        """Return the frames of the next messages, to be written at once."""
+    def _dequeue_batch(self, writer: FrameWriter) -> bytearray:
+        """Remove messages from the queue and return their frames, to be sent in one write."""
         batch = bytearray()
         while self.queue and len(batch) < MAX_BATCH_BYTES:
             message = self.queue.popleft()
@@ -141,25 +142,25 @@
 
 
 class StreamChannel:
-    """All streams of one channel: those that this relay opens, and what is received on others'."""
+    """The streams of one channel that this relay opens, and the messages received from other relays."""
 
     def __init__(self, host: StreamHost, name: str, on_message: MessageHandler) -> None:
-        """Register the channel at its relay; `on_message` gets what other relays send on it."""
+        """Register the channel with `host`; `on_message` gets the messages that other relays send on it."""
         self.host = host
         self.name = name
         self.on_message = on_message
-        self.on_connection_refused: Callable[[str, int], None] = _ignore_refused
+        self.on_connection_refused: Callable[[str, int], None] = _ignore_connection_refused
         self.counts: Counter[str] = Counter()
         self.streams: dict[StreamKey, OutgoingStream] = {}
         self.tasks: dict[StreamKey, asyncio.Task[None]] = {}
-        self.closed = False
+        self.is_closed = False
         host.channel_handlers[name] = self._receive
 
     def send(self, name: str, message: bytes) -> bool:
-        """Queue a message for a member of the view; return False where it is none, or its queue is full."""
+        """Queue a message for a member; return False if `name` is not in the view or its queue is full."""
         view = self.host.view
         peer = None if view is None else view.member(name)
-        if peer is None or self.closed:
+        if peer is None or self.is_closed:
             return False
         key = StreamKey(name, peer.instance)
         stream = self.streams.get(key)
@@ -170,8 +171,8 @@
         return stream.enqueue(message)
 
     async def close(self) -> None:
-        """End all streams that this relay has opened."""
-        self.closed = True
+        """Close all streams that this relay has opened."""
+        self.is_closed = True
         tasks = list(self.tasks.values())
         for task in tasks:
             task.cancel()
@@ -181,7 +182,7 @@
     async def _run(self, stream: OutgoingStream) -> None:
         try:
             await stream.run()
-            if stream.queue:  # its relay cannot be reached now: wait before the next attempt
+            if stream.queue:  # the relay cannot be reached: delay the next attempt
                 await asyncio.sleep(RETRY_DELAY_SECONDS)
         finally:
             if self.streams.get(stream.key) is stream:
@@ -193,5 +194,5 @@
         self.on_message(name, instance, message)
 
 
-def _ignore_refused(_name: str, _instance: int) -> None:
-    """Do nothing: the default where nobody wants to know."""
+def _ignore_connection_refused(_name: str, _instance: int) -> None:
+    """Do nothing; the default of `on_connection_refused`."""
