--- a/violetdoor/fleet/datagrams.py
+++ b/violetdoor/fleet/datagrams.py
@@ -1,4 +1,4 @@
-"""Packets over UDP: signed and sent, received and verified."""
+"""Transport of signed packets over UDP."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 from violetdoor.fleet.outbox import Datagram
 from violetdoor.fleet.view import Address
 
-MAX_DATAGRAMS_PER_WAKEUP = 32  # read in one iteration of the event loop, so that others have their turn
+# Datagrams read in one iteration of the event loop; the limit keeps other tasks from starving.
+MAX_DATAGRAMS_PER_WAKEUP = 32
 
 
 class DatagramTransport:
@@ -34,15 +35,18 @@
         counts: Counter[str],
         on_packet: Callable[[Packet, Address], None],
     ) -> None:
-        """Hand each valid packet and its source to `on_packet`; `routes` replace receivers' addresses."""
+        """Pass each valid packet and its source address to `on_packet`.
+
+        `routes` override the addresses of recipients, by name.
+        """
         self.authenticator = authenticator
         self.routes = routes
         self.counts = counts
         self.on_packet = on_packet
-        self._buffer = bytearray(MAX_DATAGRAM_BYTES + 1)  # one more, to see which are too long
+        self._buffer = bytearray(MAX_DATAGRAM_BYTES + 1)  # one spare byte reveals datagrams that are too long
 
     def send(self, sock: socket.socket, datagram: Datagram) -> None:
-        """Send a packet; one that the kernel does not take counts as lost on the way."""
+        """Send a packet; one that the kernel rejects is treated as lost in the network."""
         packet = datagram.packet
         data = self.authenticator.sign(encode(packet))
         if len(data) > MAX_DATAGRAM_BYTES:
@@ -57,13 +61,13 @@
         self.counts["bytes_out"] += len(data)
 
     def read(self, sock: socket.socket) -> None:
-        """Receive what has come, up to `MAX_DATAGRAMS_PER_WAKEUP`."""
+        """Receive the pending datagrams, at most `MAX_DATAGRAMS_PER_WAKEUP`."""
         for _ in range(MAX_DATAGRAMS_PER_WAKEUP):
             try:
                 length, source = sock.recvfrom_into(self._buffer)
             except (BlockingIOError, InterruptedError):
                 break
-            except OSError:  # ICMP: nobody listens at a port that was sent to
+            except OSError:  # an ICMP error: no socket is bound to the port of an earlier send
                 continue
             self._receive(memoryview(self._buffer)[:length], source[:2])
 
@@ -85,7 +89,7 @@
 
 
 def bind_datagram_socket(address: Address) -> socket.socket:
-    """Open a UDP socket at an address. Raises OSError."""
+    """Open a non-blocking UDP socket bound to an address. Raises OSError."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_DGRAM)
     with contextlib.ExitStack() as cleanup:
--- a/violetdoor/fleet/outbox.py
+++ b/violetdoor/fleet/outbox.py
@@ -1,4 +1,4 @@
-"""What a node wants its driver to do: send datagrams, make calls, report events. Without input or output."""
+"""Output of a node that its driver carries out: datagrams, calls and events. Does no I/O."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 )
 from violetdoor.fleet.view import Address
 
-CALL_TIMEOUT_SECONDS = 0.5  # for the connection, the request and its response
+CALL_TIMEOUT_SECONDS = 0.5  # for connecting, sending the request and receiving the response
 
 
 class Datagram(NamedTuple):
-    """A packet and the address that it goes to."""
+    """A packet and its destination address."""
 
     address: Address
     packet: Packet
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Call:
-    """A request over TCP; `number` comes back with its answer."""
+    """A request over TCP; `number` identifies the call when its response is handled."""
 
     number: int
     address: Address
@@ -34,14 +34,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """Something that operators and tests want to know."""
+    """An event to be logged and counted, with its values by name."""
 
     name: str
     values: dict[str, Any]
 
 
 class Actions(NamedTuple):
-    """What the driver is to do, and what it is to report."""
+    """Actions for the driver: packets to send, calls to make, events to report."""
 
     datagrams: list[Datagram]
     calls: list[Call]
@@ -61,8 +61,8 @@
     """Collects messages, calls and events of all parts of a node until the driver takes them."""
 
     def __init__(self) -> None:
-        """Begin with nothing to do."""
-        self.messages: dict[str, list[Message]] = {}  # by recipient; made into packets at the end of a step
+        """Create an empty outbox."""
+        self.messages: dict[str, list[Message]] = {}  # by recipient; packed at the end of a step
         self.pending_calls: dict[int, PendingCall] = {}
         self._datagrams: list[Datagram] = []
         self._calls: list[Call] = []
@@ -70,26 +70,26 @@
         self._last_call_number = 0
 
     def queue(self, name: str, message: Message) -> None:
-        """Send a message to a relay with this step's packet to it."""
+        """Queue a message for a relay; it goes into this step's packet to that relay."""
         self.messages.setdefault(name, []).append(message)
 
     def send(self, address: Address, packet: Packet) -> None:
-        """Send a packet."""
+        """Add a packet to the actions."""
         self._datagrams.append(Datagram(address, packet))
 
     def start_call(self, address: Address, request: Request, peer_name: str = "", probe_seq: int = 0) -> int:
-        """Make a call and return its number."""
+        """Add a call to the actions and return its number."""
         self._last_call_number += 1
         self.pending_calls[self._last_call_number] = PendingCall(request, peer_name, probe_seq)
         self._calls.append(Call(self._last_call_number, address, request))
         return self._last_call_number
 
     def emit(self, name: str, **values: Any) -> None:
-        """Report an event."""
+        """Add an event to the actions."""
         self._events.append(Event(name, values))
 
     def take_actions(self) -> Actions:
-        """Return all that is to be done, and begin anew."""
+        """Return the collected actions and clear them."""
         actions = Actions(self._datagrams, self._calls, self._events)
         self._datagrams = []
         self._calls = []
