--- a/violetdoor/fleet/dissemination.py
+++ b/violetdoor/fleet/dissemination.py
@@ -1,4 +1,4 @@
-"""How long gossip takes to reach everybody. Without input or output."""
+"""Estimate of how long gossip takes to reach all members. Does no I/O."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def gossip_rounds(member_count: int) -> int:
-    """Return the rounds in which gossip reaches nearly all members: the logarithm of their number, or 1.
+    """Return how many rounds gossip needs to reach nearly all members: log10 of their number, at least 1.
 
-    Das and others 2002 (SWIM), section 4.1: rumors reach a group in a number of periods logarithmic in its
-    size.
+    Das et al. 2002 (SWIM), section 4.1: a rumor reaches a group in a number of periods that is logarithmic in
+    the size of the group.
     """
     return max(1, math.ceil(math.log10(member_count + 1)))
--- a/violetdoor/fleet/failure_detector.py
+++ b/violetdoor/fleet/failure_detector.py
@@ -1,12 +1,13 @@
-"""Failure detection: SWIM with Lifeguard's refinements. Without input or output.
+"""Failure detection by SWIM with Lifeguard's extensions. Does no I/O.
 
-Das, Gupta, Motivala 2002; Dadgar, Phillips, Currey 2018. Every period one member is probed; without an
-answer others are asked to probe it, and it is pinged over TCP. A member that answers nobody is suspected; a
-suspicion ends when the member refutes it with a higher incarnation, or in death when its time is up. That
-time shortens with each member that suspects it independently; probes slow down while this relay's own health
-is in doubt. Death is this relay's own finding and is not gossiped: the agreement asks the others for theirs.
+Das, Gupta, Motivala 2002; Dadgar, Phillips, Currey 2018. One member is probed in each period. If it does not
+answer, helpers are asked to probe it, and it is pinged over TCP. A member that answers nobody is suspected.
+The suspicion ends when the member refutes it with a higher incarnation; when it times out, the member is
+declared dead. The timeout shortens with each member that suspects it independently, and probes slow down
+while this relay's own health score is bad. That a member is declared dead is a local finding and is not
+gossiped: the agreement asks the other members for theirs.
 
-What is known of the members is in `member_health`, probes in `probes`, gossiped rumors in `rumors`.
+Member states are in `member_health`, probes in `probes`, gossiped rumors in `rumors`.
 """
 
 from __future__ import annotations
@@ -40,49 +41,50 @@
 from violetdoor.fleet.rumors import RumorQueue
 from violetdoor.fleet.view import Peer
 
-# Lifeguard's local health multiplier: all times of this relay are multiplied by its score, plus one.
+# Limit of Lifeguard's local health score; this relay's probe period is multiplied by the score plus one.
 MAX_HEALTH_SCORE = 8
-MAX_NACK_PENALTY = 2  # that one failed probe adds to the score for helpers without a word
-# Members, on average, that probe one out of turn when they hear that it is suspected.
+MAX_NACK_PENALTY = 2  # limit of what one failed probe adds to the score for helpers that sent no nack
+# Mean number of members that probe a member out of turn when they learn that it is suspected.
 MEAN_SUSPICION_VERIFIERS = 5
-PERIODS_PER_DEAD_PROBE = 4  # in one of so many periods a dead member is probed, too: partitions heal
+PERIODS_PER_DEAD_PROBE = 4  # one dead member is also pinged every 4 periods, to detect healed partitions
 
 
 class Outgoing(NamedTuple):
-    """A message to a member."""
+    """A message and the member that it is for."""
 
     recipient: str
     message: Message
 
 
 class DeathProof(NamedTuple):
-    """An instance that another member knows for certain to be dead."""
+    """An instance that another member has confirmed dead."""
 
     name: str
     instance: int
 
 
 class FailureDetector:
-    """Monitors the members of the present view.
+    """Monitors the members of the current view.
 
-    The caller sends `outgoing` and `tcp_probes`, and clears these, `death_proofs` and `has_changed`.
+    The caller sends `outgoing` and `tcp_probes`, handles `death_proofs` and `health_has_changed`, and resets
+    all four.
     """
 
     def __init__(self, local_peer: Peer, random: Random, now: float) -> None:
-        """Start without members, as the instance `me`."""
+        """Start without members; `local_peer` is this relay's instance."""
         self.local_peer = local_peer
         self.random = random
-        self.incarnation = 0  # of this relay
+        self.incarnation = 0  # this relay's own
         self._table = MemberTable()
         self.members = self._table.members  # by name, without this relay
         self.probes: list[Probe] = []
         self.outgoing: list[Outgoing] = []
         self.tcp_probes: list[TcpProbe] = []
-        self.death_proofs: list[DeathProof] = []  # received, and not yet acted on
-        self.health_has_changed = False  # whether somebody's health has changed
-        self.health_score = 0  # of this relay; 0 is healthy
+        self.death_proofs: list[DeathProof] = []  # received and not yet handled by the caller
+        self.health_has_changed = False  # whether the health of any member has changed
+        self.health_score = 0  # this relay's local health score; 0 is healthy
         self._probe_order = ProbeOrder(random)
-        self._relayed_probes: dict[int, RelayedProbe] = {}  # by the sequence number of this relay's ping
+        self._relayed_probes: dict[int, RelayedProbe] = {}  # by the sequence number of the ping sent
         self._rumors = RumorQueue()
         self._last_seq = 0
         self._next_period_at = now + random.random() * PROBE_PERIOD_SECONDS
@@ -91,35 +93,35 @@
     # Members.
 
     def set_members(self, peers: tuple[Peer, ...], now: float) -> None:
-        """Monitor these members from now on; what is known of instances that stay is kept."""
+        """Monitor these members from now on; instances that stay keep their state."""
         others = [peer for peer in peers if peer.name != self.local_peer.name]
-        former = self._table.replace(others, now)
+        former = self._table.replace_members(others, now)
         self._probe_order.update(self.members, former)
         self._rumors.retain({*self.members, self.local_peer.name})
-        # Guards against the answer of an earlier instance to a probe of that one.
+        # An answer to a probe of an earlier instance must not count for the present instance.
         self.probes = [
             probe for probe in self.probes if former.get(probe.target) is self.members.get(probe.target)
         ]
 
     def is_alive(self, name: str) -> bool:
-        """Return whether a member is neither suspected nor dead; this relay is alive."""
+        """Return whether a member is neither suspected nor dead; always true for this relay."""
         member = self.members.get(name)
         return name == self.local_peer.name or (member is not None and member.health is Health.ALIVE)
 
     @property
     def alive_count(self) -> int:
-        """How many members are neither suspected nor dead, this relay included."""
+        """Number of members that are neither suspected nor dead, including this relay."""
         table = self._table
         return 1 + len(table.members) - len(table.dead) - len(table.suspected)
 
     def dead_names(self) -> list[str]:
-        """Return the members that are dead as far as this relay knows."""
+        """Return the names of the members that this relay considers dead."""
         return list(self._table.dead)
 
     def confirm_dead(self, name: str, now: float, *, is_proven: bool = False) -> None:
-        """Declare a member's instance dead for certain; its silence puts nobody's own health in doubt.
+        """Declare a member's instance dead on proof; its failed probes do not affect the health score.
 
-        `is_proven`: the proof is this relay's own, and the others are told of it.
+        `is_proven`: this relay has the proof itself, and gossips the death to the other members.
         """
         self.probes = [probe for probe in self.probes if probe.target != name]
         member = self.members.get(name)
@@ -142,27 +144,27 @@
 
     @property
     def next_wake_at(self) -> float:
-        """When `wake` has something to do."""
+        """The time at which `wake` must be called next."""
         table = self._table
         times = [self._next_period_at]
         times += [relayed.expires_at for relayed in self._relayed_probes.values()]
-        indirect_after = self._indirect_probe_delay
-        times += [probe.started_at + indirect_after for probe in self.probes if not probe.is_relayed]
+        indirect_delay = self._indirect_probe_delay
+        times += [probe.started_at + indirect_delay for probe in self.probes if not probe.is_indirect]
         times += [
             member.health_changed_at + table.suspicion_seconds(member) for member in table.suspected.values()
         ]
         return min(times)
 
     @property
-    def _period(self) -> float:
+    def _period_seconds(self) -> float:
         return PROBE_PERIOD_SECONDS * (1 + self.health_score)
 
     @property
     def _indirect_probe_delay(self) -> float:
-        return INDIRECT_PROBE_FRACTION * self._period
+        return INDIRECT_PROBE_FRACTION * self._period_seconds
 
     def resume_after_pause(self, now: float) -> None:
-        """Continue after this process was stopped: nothing that expired meanwhile counts."""
+        """Continue after a process pause: timeouts that expired during the pause are disregarded."""
         self.probes.clear()
         self._relayed_probes.clear()
         self.health_score = MAX_HEALTH_SCORE
@@ -171,16 +173,16 @@
         self._next_period_at = now
 
     def wake(self, now: float) -> None:
-        """Expire and start probes, and declare members dead whose suspicion has lasted long enough."""
+        """Expire and start probes, and declare members dead whose suspicion has timed out."""
         for seq, relayed in list(self._relayed_probes.items()):
             if now >= relayed.expires_at:
                 del self._relayed_probes[seq]
                 self.outgoing.append(Outgoing(relayed.origin, Nack(relayed.origin_seq)))
         for probe in self.probes:
-            if not probe.is_relayed and now >= probe.started_at + self._indirect_probe_delay:
+            if not probe.is_indirect and now >= probe.started_at + self._indirect_probe_delay:
                 self._probe_indirectly(probe)
         if now >= self._next_period_at:
-            self._next_period_at = now + self._period
+            self._next_period_at = now + self._period_seconds
             self._expire_probes(now)
             self._start_period(now)
         for member in list(self._table.suspected.values()):
@@ -199,9 +201,9 @@
         if name is not None:
             self._send_probe(name, now)
         if self._period_count % PERIODS_PER_DEAD_PROBE == 0:
-            self._ping_a_dead_member()
+            self._ping_random_dead_member()
 
-    def _ping_a_dead_member(self) -> None:
+    def _ping_random_dead_member(self) -> None:
         dead = self.dead_names()
         if dead:
             self._last_seq += 1
@@ -213,12 +215,12 @@
         self.outgoing.append(Outgoing(name, Ping(self._last_seq, self.members[name].peer.instance)))
 
     def probe_now(self, name: str, now: float) -> None:
-        """Probe a member out of turn, as somebody holds it for dead."""
+        """Probe a member out of turn because another member considers it suspected or dead."""
         if name in self.members and all(probe.target != name for probe in self.probes):
             self._send_probe(name, now)
 
     def _probe_indirectly(self, probe: Probe) -> None:
-        probe.is_relayed = True
+        probe.is_indirect = True
         others = [name for name in self._table.alive_names() if name != probe.target]
         helpers = self.random.sample(others, min(INDIRECT_PROBE_COUNT, len(others)))
         probe.expected_nacks = len(helpers)
@@ -228,13 +230,13 @@
         self.tcp_probes.append(TcpProbe(probe.target, probe.seq))
 
     def _expire_probes(self, now: float) -> None:
-        """Suspect the targets of probes that had time enough and got no answer."""
+        """Suspect the targets of unanswered probes that have reached the minimum age."""
         for probe in list(self.probes):
-            if now < probe.started_at + MIN_PROBE_AGE_FRACTION * self._period:
+            if now < probe.started_at + MIN_PROBE_AGE_FRACTION * self._period_seconds:
                 continue
             self.probes.remove(probe)
-            # Helpers that did not even send a nack put this relay's own network in doubt; without helpers
-            # nothing tells whose fault it is.
+            # Missing nacks indicate a fault of this relay's own network. Without helpers it is unknown on
+            # which side the fault is.
             penalty = min(MAX_NACK_PENALTY, probe.expected_nacks) if probe.has_helpers else 1
             self._change_health_score(penalty)
             member = self.members.get(probe.target)
@@ -247,7 +249,7 @@
     # Messages.
 
     def record_packet(self, name: str, instance: int, incarnation: int, now: float) -> None:
-        """Note that a packet of this instance was received."""
+        """Record that a packet of this instance was received."""
         member = self.members.get(name)
         if member is None or member.peer.instance != instance:
             return
@@ -260,12 +262,12 @@
         self.outgoing.append(Outgoing(sender, Ack(ping.seq, self.local_peer.instance)))
 
     def handle_ack(self, sender: str, ack: Ack, now: float) -> None:
-        """End the probe that this answers; another instance's ack proves that the monitored one is dead."""
+        """End the probe that is answered; an ack of another instance proves the monitored one dead."""
         member = self.members.get(sender)
         if member is not None and ack.instance not in (0, member.peer.instance):
             self.confirm_dead(sender, now)
         elif member is not None and member.health is Health.DEAD:
-            # It answers: a partition has healed. It is suspected until it refutes that.
+            # The answer shows that a partition has healed. The member stays suspected until it refutes that.
             self._set_health(member, Health.SUSPECT, now)
             member.suspected_by = {self.local_peer.name}
         for probe in self.probes:
@@ -282,7 +284,7 @@
         self.probes = [probe for probe in self.probes if probe.seq != seq]
 
     def handle_ping_request(self, origin: str, request: PingRequest, now: float) -> None:
-        """Ping a member in place of another."""
+        """Ping a member as the helper of another one."""
         member = self.members.get(request.target)
         if member is None:
             return
@@ -292,7 +294,7 @@
         self.outgoing.append(Outgoing(request.target, Ping(self._last_seq, member.peer.instance)))
 
     def handle_nack(self, nack: Nack) -> None:
-        """Note that a helper is reachable, though the probe's target did not answer it."""
+        """Record that a helper is reachable although the target did not answer it."""
         for probe in self.probes:
             if probe.seq == nack.seq:
                 probe.expected_nacks = max(0, probe.expected_nacks - 1)
@@ -300,7 +302,7 @@
     # Rumors.
 
     def handle_rumor(self, rumor: Rumor, now: float) -> None:
-        """Learn what another relay says of a member."""
+        """Apply a rumor from another relay."""
         if rumor.name == self.local_peer.name:
             self._refute_own_suspicion(rumor)
             return
@@ -316,7 +318,7 @@
             self._suspect(member, rumor.reporter, rumor.incarnation, now)
 
     def _refute_own_suspicion(self, rumor: Rumor) -> None:
-        """Contradict a suspicion of this instance with an incarnation above the suspected one."""
+        """Refute a suspicion of this instance with a higher incarnation than the suspected one."""
         local_peer = self.local_peer
         if rumor.instance != local_peer.instance or rumor.state != RUMOR_SUSPECT:
             return
@@ -324,7 +326,7 @@
             self.incarnation = rumor.incarnation + 1
             self._change_health_score(+1)
         refutation = Rumor(local_peer.name, local_peer.instance, self.incarnation, RUMOR_ALIVE)
-        self._rumors.put(refutation, len(self.members) + 1)
+        self._rumors.enqueue(refutation, len(self.members) + 1)
 
     def _refute_suspicion(self, member: MonitoredMember, incarnation: int) -> None:
         member.incarnation = incarnation
@@ -350,19 +352,19 @@
             self._queue_rumor(member, RUMOR_SUSPECT, reporter)
 
     def _is_verifier(self) -> bool:
-        """Draw whether this relay verifies a suspicion itself, without waiting for the member's turn."""
+        """Decide at random whether this relay probes a suspected member out of turn."""
         return self.random.random() * len(self.members) < MEAN_SUSPICION_VERIFIERS
 
     def _queue_rumor(self, member: MonitoredMember, state: int, reporter: str = "") -> None:
         peer = member.peer
         rumor = Rumor(peer.name, peer.instance, member.incarnation, state, reporter)
-        self._rumors.put(rumor, len(self.members) + 1)
+        self._rumors.enqueue(rumor, len(self.members) + 1)
 
     def pick_rumors(self, recipient: str) -> tuple[Rumor, ...]:
-        """Return the rumors of the next packet: first any doubt about its recipient, then those sent least.
+        """Return the rumors for the next packet to `recipient`.
 
-        A doubted member learns of it from whoever sends to it, so that it can refute it (Lifeguard's buddy
-        system).
+        A suspicion of the recipient comes first, so that each sender lets a suspected member refute it
+        (Lifeguard's buddy system); then the rumors with the most sends remaining.
         """
         picked = []
         member = self.members.get(recipient)
--- a/violetdoor/fleet/member_health.py
+++ b/violetdoor/fleet/member_health.py
@@ -1,4 +1,4 @@
-"""What a relay's failure detector knows of each member: alive, suspected or dead. Without input or output."""
+"""Member states of the failure detector: alive, suspected or dead. Does no I/O."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from violetdoor.fleet.probes import PROBE_PERIOD_SECONDS
 from violetdoor.fleet.view import Peer
 
-# Probe periods that a suspicion lasts, times the logarithm of the fleet's size.
-MIN_SUSPICION_PERIODS = 2.4  # once confirmed by `MAX_CONFIRMATIONS` others
-MAX_SUSPICION_PERIODS = 6.0  # unconfirmed
-MAX_CONFIRMATIONS = 3  # independent suspicions from which on it is shortest
+# Duration of a suspicion in probe periods, multiplied by the logarithm of the fleet's size.
+MIN_SUSPICION_PERIODS = 2.4  # if `MAX_CONFIRMATIONS` others have confirmed it
+MAX_SUSPICION_PERIODS = 6.0  # if no other member has confirmed it
+MAX_CONFIRMATIONS = 3  # number of independent confirmations that shorten it to the minimum
 
 
 class Health(Enum):
-    """A member's health as this relay sees it. Operators see the values."""
+    """A member's health as this relay sees it. The values are shown to operators."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -27,21 +27,21 @@
 
 @dataclass(slots=True, eq=False)
 class MonitoredMember:
-    """One member as it is seen from here."""
+    """State of one monitored member."""
 
     peer: Peer
     incarnation: int = 0
     health: Health = Health.ALIVE
-    health_changed_at: float = 0.0  # when the suspicion or death began
-    last_received_at: float = -math.inf  # when this instance's last packet was received
-    suspected_by: set[str] = field(default_factory=set)
+    health_changed_at: float = 0.0  # when it became suspected or dead
+    last_received_at: float = -math.inf  # when the last packet of this instance was received
+    suspected_by: set[str] = field(default_factory=set)  # names of the relays that suspect it
 
 
 class MemberTable:
-    """The members of the present view but this relay, by name.
+    """The members of the current view except this relay, by name.
 
-    `suspected` and `dead` are parts of `members`, kept apart so that a step costs as much as there is in
-    doubt. All three are the same objects for the table's whole life.
+    `suspected` and `dead` are subsets of `members`, kept so that the cost of a step depends on the number of
+    suspected and dead members only. The three dicts are updated in place and never replaced.
     """
 
     def __init__(self) -> None:
@@ -50,15 +50,15 @@
         self.suspected: dict[str, MonitoredMember] = {}
         self.dead: dict[str, MonitoredMember] = {}
 
-    def replace(self, peers: Iterable[Peer], now: float) -> dict[str, MonitoredMember]:
-        """Continue with these members, and return the former ones; instances that stay keep their health."""
+    def replace_members(self, peers: Iterable[Peer], now: float) -> dict[str, MonitoredMember]:
+        """Replace the members and return the former ones; instances that stay keep their health."""
         former = dict(self.members)
         self.members.clear()
         for peer in peers:
             member = former.get(peer.name)
             if member is None or member.peer.instance != peer.instance:
                 member = MonitoredMember(peer, last_received_at=now)
-            member.peer = peer  # its `joined_seq` may not have been known before
+            member.peer = peer  # `joined_seq` may have been unknown before
             self.members[peer.name] = member
         self.suspected.clear()
         self.dead.clear()
@@ -70,7 +70,7 @@
         return former
 
     def set_health(self, member: MonitoredMember, health: Health, changed_at: float) -> None:
-        """Change a member's health."""
+        """Change a member's health and move it to the matching subset."""
         name = member.peer.name
         self.suspected.pop(name, None)
         self.dead.pop(name, None)
@@ -86,12 +86,12 @@
         return [name for name, member in self.members.items() if member.health is Health.ALIVE]
 
     def suspicion_seconds(self, member: MonitoredMember) -> float:
-        """Return how long the suspicion of a member lasts; each independent confirmation shortens it."""
+        """Return how long a suspicion of the member lasts; each independent confirmation shortens it."""
         scale = PROBE_PERIOD_SECONDS * gossip_rounds(len(self.members) + 1)
         shortest = MIN_SUSPICION_PERIODS * scale
         longest = MAX_SUSPICION_PERIODS * scale
-        expected = min(MAX_CONFIRMATIONS, max(0, len(self.members) - 1))  # others that may confirm
-        if expected == 0:
+        max_confirmations = min(MAX_CONFIRMATIONS, max(0, len(self.members) - 1))
+        if max_confirmations == 0:
             return shortest
-        confirmed = min(expected, len(member.suspected_by) - 1)
-        return longest - (longest - shortest) * math.log(confirmed + 1) / math.log(expected + 1)
+        confirmations = min(max_confirmations, len(member.suspected_by) - 1)
+        return longest - (longest - shortest) * math.log(confirmations + 1) / math.log(max_confirmations + 1)
