--- a/violetdoor/fleet/receiver.py
+++ b/violetdoor/fleet/receiver.py
@@ -1,4 +1,4 @@
-"""Handling received packets: from members, and from relays that are none. Without input or output."""
+"""Handling of received packets, from members and non-members. Does no I/O."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class PacketReceiver:
-    """Passes each part of a packet to the part of the node that it concerns."""
+    """Dispatches the contents of a packet to the components of the node."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         joining: Joining,
         packets: Packets,
     ) -> None:
-        """Use these parts of the node."""
+        """Dispatch to these components of the node."""
         self.context = context
         self.departures = departures
         self.prior_leases = prior_leases
@@ -63,9 +63,9 @@
         self.packets = packets
 
     def receive(self, packet: Packet, source: Address, now: float) -> bool:
-        """Handle a packet whose tag was valid; return whether it was handled, or is answered."""
+        """Handle a packet whose tag was valid; return False if it was dropped without an answer."""
         drop_reason = self.packets.check_drop(packet)
-        if drop_reason is DropReason.FOR_ANOTHER and packet.recipient == self.context.config.name:
+        if drop_reason is DropReason.WRONG_RECIPIENT and packet.recipient == self.context.config.name:
             self._answer_for_earlier_instance(packet, source)
             return True
         if drop_reason is not None:
@@ -86,13 +86,13 @@
         return True
 
     def _answer_for_earlier_instance(self, packet: Packet, source: Address) -> None:
-        """Answer pings to an earlier instance of this relay: the answer names the present one."""
+        """Answer pings to an earlier instance of this relay; the answer has the present instance."""
         self.packets.record_source(packet, source)
         for message in packet.messages:
             if isinstance(message, Ping):
                 self.context.outbox.queue(packet.sender, Ack(message.seq, self.context.local_peer.instance))
 
-    # What a member's packet says of the member and of others.
+    # State of the sender, and its rumors about other members.
 
     def _handle_sender_state(self, packet: Packet, now: float) -> None:
         detector = self.context.detector
@@ -147,21 +147,21 @@
                 self._handle_agreement(name, message, now)
 
     def _handle_ack(self, name: str, ack: Ack, now: float) -> None:
-        """Take the answer to a ping; another instance's proves that the one in the view has ended."""
+        """Handle the answer to a ping; one of another instance proves that the view's instance has ended."""
         detector = self.context.detector
-        watched = detector.members.get(name)
-        if watched is None or ack.instance in (0, watched.peer.instance):
+        monitored = detector.members.get(name)
+        if monitored is None or ack.instance in (0, monitored.peer.instance):
             detector.handle_ack(name, ack, now)
         elif any(probe.seq == ack.seq for probe in detector.probes):
-            # The ping was sent since, so the answer is no old packet.
-            self.departures.confirm_failed(name, watched.peer.instance, now)
+            # The probe is still in flight, so the answer is not an old packet.
+            self.departures.confirm_failed(name, monitored.peer.instance, now)
         else:
             self.departures.mark_member_ended(name, now)
 
     def _handle_restart(self, peer: Peer, now: float) -> None:
-        """Take the request to join of a member's later instance.
+        """Handle a join request of a later instance of a member.
 
-        Guards against an old packet: what it says of its instance is only a reason to ask.
+        The packet may be an old one and proves nothing, so the instance is verified by a ping.
         """
         self.proposer.add_join_request(peer, now)
         self.proposer.restart_received_at[peer.name] = now
@@ -169,10 +169,10 @@
             self.context.outbox.queue(peer.name, Ping(0))
 
     def _handle_agreement(self, name: str, message: AgreementMessage, now: float) -> None:
-        """Pass a message on to the agreement.
+        """Pass a message to the agreement.
 
-        The sender counts by name, whichever its instance: a restarted relay votes on a view only where its
-        durable state has it.
+        The sender is identified by name, whatever its instance: a restarted relay votes on a view only if its
+        durable state contains that view.
         """
         context = self.context
         agreement = self.context.agreement
--- a/violetdoor/fleet/status.py
+++ b/violetdoor/fleet/status.py
@@ -1,6 +1,6 @@
-"""What operators see of a node at its console: the JSON of `GET /fleet`. Without input or output.
+"""Status of a node as shown at its console: the JSON of `GET /fleet`. Does no I/O.
 
-Operators rely on the JSON's keys. Where a key is not the field's term, `field(name=...)` keeps it.
+Operators rely on the JSON keys. A field whose key differs from its name sets it by `field(name=...)`.
 """
 
 from __future__ import annotations
@@ -24,9 +24,10 @@
     name: str
     address: str  # host:port
     zone: str
-    since_view: int = field(name="since")  # sequence number of the first view of the epoch that has it
-    health: str  # self, alive, suspect, dead, ended (another instance of it runs), unknown
-    last_received_seconds: float | None = field(name="heard_s")  # since its last packet; none: no packet yet
+    since_view: int = field(name="since")  # sequence number of the first view of the epoch with this member
+    health: str  # self, alive, suspect, dead, ended (its instance has ended, another may run), unknown
+    # Seconds since its last packet; None if no packet was received yet.
+    last_received_seconds: float | None = field(name="heard_s")
 
 
 class FleetStatus(Struct, frozen=True):
@@ -35,22 +36,22 @@
     name: str
     state: str = field(name="standing")  # a `MemberState`
     view: str | None
-    digest: str | None  # of the view
-    size: int  # members of the view
-    majority: int
-    may_act: bool  # this relay holds a lease
+    digest: str | None  # digest of the view
+    size: int  # number of members of the view
+    majority: int  # number of members that form a majority
+    may_act: bool  # whether this relay holds a lease
     lease_remaining_seconds: float = field(name="lease_left_s")
-    prior_leases_expired: bool = field(name="clear")  # no lease under an earlier view can still hold
-    own_health: int  # local health score of Lifeguard; 0 is healthy
+    prior_leases_expired: bool = field(name="clear")  # no lease of an earlier view can still be valid
+    own_health: int  # Lifeguard's local health score; 0 is healthy
     members: tuple[MemberStatus, ...]
-    joining: tuple[str, ...] = field(name="pending")  # relays that asked to be admitted
-    map_entries: int = field(name="shared")  # entries of the shared map
+    joining: tuple[str, ...] = field(name="pending")  # names of relays with an open join request
+    map_entries: int = field(name="shared")  # number of entries in the shared map
     map_digest: str = field(name="map")
     counts: dict[str, int]
 
 
 class StatusReader:
-    """Reads the status of a node's parts."""
+    """Collects the status from the components of a node."""
 
     def __init__(
         self,
@@ -60,7 +61,7 @@
         proposer: Proposer,
         packets: Packets,
     ) -> None:
-        """Keep the parts that the status is read from."""
+        """Read from these components."""
         self.context = context
         self.departures = departures
         self.prior_leases = prior_leases
@@ -68,7 +69,7 @@
         self.packets = packets
 
     def read(self, counts: Mapping[str, int], now: float) -> FleetStatus:
-        """Return the status at this moment; `counts` are the driver's counters."""
+        """Return the status at the time `now`; `counts` are the driver's counters."""
         context = self.context
         view = context.view
         lease = context.lease
@@ -87,12 +88,12 @@
             joining=tuple(sorted(self.proposer.pending_joins)),
             map_entries=len(context.map.entries),
             map_digest=f"{context.map.digest:016x}",
-            counts={**counts, **self._dropped()},
+            counts={**counts, **self._drop_counts()},
         )
 
-    def _dropped(self) -> dict[str, int]:
-        dropped = self.packets.dropped
-        return {f"dropped {reason.value}": count for reason, count in dropped.items() if count}
+    def _drop_counts(self) -> dict[str, int]:
+        drop_counts = self.packets.drop_counts
+        return {f"dropped {reason.value}": count for reason, count in drop_counts.items() if count}
 
     def _member(self, peer: Peer, now: float) -> MemberStatus:
         return MemberStatus(
@@ -109,11 +110,11 @@
             return "self"
         if name in self.departures.ended_members:
             return "ended"
-        watched = self.context.detector.members.get(name)
-        return "unknown" if watched is None else watched.health.value
+        monitored = self.context.detector.members.get(name)
+        return "unknown" if monitored is None else monitored.health.value
 
     def _last_received_seconds(self, name: str, now: float) -> float | None:
-        watched = self.context.detector.members.get(name)
-        if watched is None:
+        monitored = self.context.detector.members.get(name)
+        if monitored is None:
             return 0.0
-        return None if watched.last_received_at == -math.inf else round(now - watched.last_received_at, 3)
+        return None if monitored.last_received_at == -math.inf else round(now - monitored.last_received_at, 3)
