--- a/violetdoor/fleet/tasks.py
+++ b/violetdoor/fleet/tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of a fleet's endpoint, which end with it."""
+"""Background tasks of a fleet endpoint, cancelled when the endpoint stops."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class TaskOwner:
-    """Runs coroutines as tasks; a fault of one is logged and counted, and ends nothing else."""
+    """Runs coroutines as tasks; an exception in one is logged and counted, and affects no other task."""
 
     def __init__(self, counts: Counter[str]) -> None:
-        """Count faults in `counts`, under `faults`."""
+        """Count failed tasks in `counts["faults"]`."""
         self.counts = counts
         self.loop = asyncio.get_running_loop()
         self.tasks: set[asyncio.Task[None]] = set()
@@ -27,7 +27,7 @@
         task.add_done_callback(self._task_done)
 
     def cancel(self) -> None:
-        """Cancel all tasks; they end once the loop runs them again."""
+        """Cancel all tasks; they end when the event loop next runs them."""
         for task in list(self.tasks):
             task.cancel()
 
@@ -35,4 +35,4 @@
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.counts["faults"] += 1
-            log.error("fleet task failed", exc_info=error)
+            log.error("background task of the fleet endpoint failed", exc_info=error)
