--- a/violetdoor/fleet/service.py
+++ b/violetdoor/fleet/service.py
@@ -1,4 +1,4 @@
-"""The fleet as a service of the program: start and end, upgrades, the console's calls under `/fleet`."""
+"""The fleet as a service of the program: start and stop, upgrades, console calls under `/fleet`."""
 
 from __future__ import annotations
 
@@ -30,18 +30,19 @@
 
 log = logging.getLogger("violetdoor")
 
-HANDOVER_TIMEOUT_SECONDS = 2.0  # for the previous process' state, once this process takes clients
-# Until the sockets are opened again, which the other process may still hold.
+HANDOVER_TIMEOUT_SECONDS = 2.0  # how long the new process waits for the handover after this service starts
+# Delay until the next attempt to open the sockets and the state file, which the other process may still hold.
 START_RETRY_DELAY_SECONDS = 0.2
-UDP_SOCKET = "fleet-udp"  # names of the sockets that an upgrade hands over
+# Names of the sockets that an upgrade hands over.
+UDP_SOCKET = "fleet-udp"
 TCP_SOCKET = "fleet-tcp"
 
 
 class FleetService(Service):
-    """Keeps the fleet's view, tells the core how many relays are active, and shares bans and drains."""
+    """Runs the fleet endpoint, sets the core's relay count, and shares bans and drains in the fleet."""
 
     def __init__(self, host: ServiceHost) -> None:
-        """Prepare the endpoint as the operator's file says. Raises ConfigError for an unusable key file."""
+        """Create the endpoint from the operator's file. Raises ConfigError for an invalid key file."""
         self.host = host
         self.core = host.core
         options = host.config.fleet
@@ -53,7 +54,7 @@
         self.endpoint.entry_listeners.append(self.servers.apply)
 
     def _create_endpoint(self, options: Options) -> FleetEndpoint:
-        assert options.listen is not None  # else the relay attaches: `violetdoor.control.service`
+        assert options.listen is not None  # a relay without it attaches: `violetdoor.control.service`
         bind_address = parse_address(options.listen)
         advertised = parse_address(options.advertise) if options.advertise else bind_address
         node_config = NodeConfig(
@@ -80,45 +81,48 @@
         return endpoint
 
     async def start(self) -> None:
-        """Become a member, and wait for a view: or for the previous process' state, in an upgrade."""
+        """Join the fleet and wait for a view; in an upgrade, wait for the handover in the background."""
         if self.host.predecessor_state is not None:
-            # The previous process is the member until it says that it takes no more clients.
+            # The previous process remains the member until it hands the membership over.
             self._schedule_take_over(HANDOVER_TIMEOUT_SECONDS, None)
             return
         try:
             self.endpoint.start()
         except StateFileError as error:
             raise ConfigError(str(error)) from error
-        log.info("fleet at %s:%d as %s", *self.endpoint.address, self.endpoint.config.name)
-        # A client that is taken before would be placed without what the others know of servers.
+        log.info(
+            "fleet endpoint opened at %s:%d as relay %s", *self.endpoint.address, self.endpoint.config.name
+        )
+        # A client accepted before this relay has the shared map would be placed without regard to the bans
+        # and drains of other relays.
         if not await self.endpoint.wait_until_joined(self.options.start_timeout):
-            log.warning("no fleet view within %g s, serving without one", self.options.start_timeout)
+            log.warning("joined no fleet view within %g s; starting without one", self.options.start_timeout)
 
     async def stop(self) -> None:
         """Leave the fleet and close its sockets."""
         await self.endpoint.close()
 
-    # Two processes of one relay are one member.
+    # Upgrades: the two processes of a relay are the same member, one after the other.
 
     def shared_sockets(self) -> dict[str, socket.socket]:
-        """Return the sockets that the next process takes over."""
+        """Return the sockets that the next process inherits."""
         if not self.endpoint.is_open:
             return {}
         return {UDP_SOCKET: self.endpoint.udp, TCP_SOCKET: self.endpoint.tcp}
 
     def on_successor_accepting(self) -> None:
-        """Hand the membership over to the next process."""
+        """Stop being the member, and send the membership state to the next process."""
         handover = self.endpoint.hand_over()
         if handover is not None:
             self.host.send_to_peer(FleetMembership(base64.b85encode(encode(handover)).decode()))
 
     def on_message(self, message: Message) -> None:
-        """Take the membership over with the state that the previous process sends."""
+        """Take over the membership with the state that the previous process sends."""
         if isinstance(message, FleetMembership):
             self._take_over(handover_state_decoder.decode(base64.b85decode(message.state)))
 
     def on_successor_lost(self) -> None:
-        """Become the member without the other process' state."""
+        """Become the member again, without the state of the other process."""
         self._take_over(None)
 
     def _schedule_take_over(self, delay: float, handover: HandoverState | None) -> None:
@@ -126,7 +130,7 @@
         self.takeover_timer = loop.call_later(delay, self._take_over, handover)
 
     def _take_over(self, handover: HandoverState | None) -> None:
-        """Be the member from now on: with the other process' state, or with the state file's."""
+        """Start the endpoint as the member, from the other process' state or else from the state file."""
         if self.takeover_timer is not None:
             self.takeover_timer.cancel()
             self.takeover_timer = None
@@ -136,13 +140,13 @@
         try:
             self.endpoint.start(handover, inherited.pop(UDP_SOCKET, None), inherited.pop(TCP_SOCKET, None))
         except (StateFileError, OSError) as error:
-            log.error("cannot take over the fleet membership, retrying: %s", error)
+            log.error("cannot open the fleet endpoint to take over the membership; retrying: %s", error)
             self._schedule_take_over(START_RETRY_DELAY_SECONDS, handover)
 
     # Operators.
 
     def gauges(self) -> Mapping[str, Callable[[], int]]:
-        """Return the figures of `/stats`."""
+        """Return the functions that read the gauges of `/stats`, by name."""
         return {"fleet_size": self._view_size, "fleet_live": self._holds_lease}
 
     def _view_size(self) -> int:
@@ -152,7 +156,7 @@
         return int(self.endpoint.may_act())
 
     def handle_call(self, method: str, path: list[str]) -> Answer | None:
-        """Answer the console's calls under `/fleet`."""
+        """Answer console calls under `/fleet`; return None for other paths."""
         if path[:1] != ["fleet"]:
             return None
         match method, path[1:]:
