--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -1,4 +1,4 @@
-"""Relays of a fleet as processes: what they share, what operators see, and invalid packets."""
+"""Relays of a fleet as processes: shared bans and drains, operator commands, and invalid packets."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 
 class Site:
-    """Addresses and files of one test's relays."""
+    """Addresses and configuration files of the relays in one test."""
 
     def __init__(self, folder: Path, count: int, **front: Any) -> None:
         self.folder, self.front = folder, front
-        self.network = f"127.{200 + os.getpid() % 50}.{Random().randrange(256)}"  # of this test alone
+        self.network = f"127.{200 + os.getpid() % 50}.{Random().randrange(256)}"  # used by this test only
         self.names = [f"r{n}" for n in range(count)]
         (folder / "fleet.key").write_bytes(KEY)
 
@@ -71,17 +71,17 @@
 
 @contextlib.asynccontextmanager
 async def fleet_of_three(
-    tmp_path: Path, **values: Any
+    tmp_path: Path, **front: Any
 ) -> AsyncIterator[tuple[Site, list[Relay], list[GateServer]]]:
-    """Three relays in one view, before two gate servers or what else is said."""
+    """Run three relays in one view, with the line front and two gate servers unless `front` is given."""
     async with contextlib.AsyncExitStack() as stack:
         gates = [await stack.enter_async_context(GateServer()) for _ in range(2)]
         discovery = await stack.enter_async_context(Discovery(*gates))
-        site = Site(tmp_path, 3, **(values or line_front(discovery)))
+        site = Site(tmp_path, 3, **(front or line_front(discovery)))
         starting = [stack.enter_async_context(site.relay(name)) for name in site.names]
         relays = list(await asyncio.gather(*starting))
-        for one in relays:
-            await wait_for_lease(one, 3)
+        for relay_process in relays:
+            await wait_for_lease(relay_process, 3)
         yield site, relays, gates
 
 
@@ -92,7 +92,7 @@
 
 
 async def wait_for_lease(relay_process: Relay, size: int) -> dict[str, Any]:
-    """Wait until a relay holds a lease in a view of so many."""
+    """Wait until a relay holds a lease in a view of `size` members; return its status."""
     async with asyncio.timeout(15.0):
         status = await fleet_status(relay_process)
         while not (status["may_act"] and status["size"] == size):
@@ -113,27 +113,27 @@
 
 def test_a_ban_at_one_relay_holds_at_all_and_any_relay_lifts_it(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet_of_three(tmp_path) as (site, (one, two, _), gates):
+        async with fleet_of_three(tmp_path) as (site, (first, second, _), gates):
             async with asyncio.timeout(15.0):
-                while (await one.figures())["pool_size"] != 2:
+                while (await first.figures())["pool_size"] != 2:
                     await asyncio.sleep(0.01)
             server = f"s-{gates[0].address}"
-            assert (await one.call(f"PUT /gate-servers/{server}/maint"))[0] == 200
-            async with asyncio.timeout(1.0):  # all know within a second
-                while (await two.figures())["pool_ejected"] != 1:
+            assert (await first.call(f"PUT /gate-servers/{server}/maint"))[0] == 200
+            async with asyncio.timeout(1.0):  # the ban reaches all relays within a second
+                while (await second.figures())["pool_ejected"] != 1:
                     await asyncio.sleep(0.01)
-            # One that enters knows before it takes its first client.
+            # A relay that joins later knows the ban before it accepts its first client.
             site.names.append("r3")
-            async with site.relay("r3") as late:
+            async with site.relay("r3") as joined_later:
                 for _ in range(8):
-                    reader, writer = await late.open()
+                    reader, writer = await joined_later.open()
                     writer.write(opening_line(FIRST_LINE_FIELDS))
                     assert await read_line(reader) == b"UP r1\r\n"
                 assert not gates[0].opened
                 assert len(gates[1].opened) == 8
-                assert (await late.call(f"PUT /gate-servers/{server}/ready"))[0] == 200
+                assert (await joined_later.call(f"PUT /gate-servers/{server}/ready"))[0] == 200
                 async with asyncio.timeout(1.0):
-                    while (await one.figures())["pool_ejected"] or (await two.figures())["pool_ejected"]:
+                    while (await first.figures())["pool_ejected"] or (await second.figures())["pool_ejected"]:
                         await asyncio.sleep(0.01)
 
     run(test)
@@ -143,32 +143,32 @@
     async def test() -> None:
         peers: list[NatsServer] = []
         async with (
-            NatsServer(peers) as first, NatsServer(peers) as second,
-            fleet_of_three(tmp_path, **nats_front(first, second)) as (_, (one, two, _three), _gates),
+            NatsServer(peers) as draining_server, NatsServer(peers) as other_server,
+            fleet_of_three(tmp_path, **nats_front(draining_server, other_server)) as (_, (first, second, _third), _gates),
         ):  # fmt: skip
             clients = []
-            while not first.connects:  # a client that this server has through the first relay
-                clients.append(await Client.connect(one))
+            while not draining_server.connects:  # until the first relay places a client on this server
+                clients.append(await Client.connect(first))
                 clients[-1].send(b"PING")
                 assert await clients[-1].line() == b"PONG"
-            before = len(first.connects)
-            first.say(b'INFO {"ldm":true}\r\n')
+            before = len(draining_server.connects)
+            draining_server.say(b'INFO {"ldm":true}\r\n')
             async with asyncio.timeout(1.0):
-                while not (await fleet_status(two))["shared"]:
+                while not (await fleet_status(second))["shared"]:
                     await asyncio.sleep(0.01)
             for _ in range(6):
-                clients.append(await Client.connect(two))
+                clients.append(await Client.connect(second))
                 clients[-1].send(b"PING")
                 assert await clients[-1].line() == b"PONG"
-            assert len(first.connects) == before
+            assert len(draining_server.connects) == before
 
     run(test)
 
 
 def test_operators_see_and_leave_the_fleet_and_force_is_refused_with_a_majority(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet_of_three(tmp_path) as (_, (one, two, three_), _gates):
-            consoles = ["{}:{}".format(*r.console) for r in (one, two, three_)]
+        async with fleet_of_three(tmp_path) as (_, (first, second, third), _gates):
+            consoles = ["{}:{}".format(*r.console) for r in (first, second, third)]
             view = await run_command("fleet", "view", "--console", consoles[0])
             assert view.returncode == 0
             assert "3 members, lease holds" in view.stdout
@@ -181,47 +181,48 @@
             assert "a majority is reached: 3 of 3" in force.stdout
             left = await run_command("fleet", "leave", "--console", consoles[2])
             assert left.returncode == 0
-            await wait_for_lease(one, 2)
-            assert (await fleet_status(three_))["standing"] == "left"
-            reader, writer = await three_.open()  # it serves on, alone
+            await wait_for_lease(first, 2)
+            assert (await fleet_status(third))["standing"] == "left"
+            reader, writer = await third.open()  # it still accepts clients outside the fleet
             writer.write(opening_line(FIRST_LINE_FIELDS))
             assert await read_line(reader) == b"UP r1\r\n"
-            two.killed = True
-            two.process.kill()
+            second.killed = True
+            second.process.kill()
             async with asyncio.timeout(10.0):
-                while (await fleet_status(one))["may_act"]:
+                while (await fleet_status(first))["may_act"]:
                     await asyncio.sleep(0.02)
-            stale = await run_command("fleet", "view", "--console", consoles[0])
-            assert stale.returncode == 1
-            assert "no lease" in stale.stdout
+            view_without_lease = await run_command("fleet", "view", "--console", consoles[0])
+            assert view_without_lease.returncode == 1
+            assert "no lease" in view_without_lease.stdout
             force = await run_command("fleet", "force", "--yes", "--console", consoles[0])
             assert force.returncode == 0
-            await wait_for_lease(one, 1)
-            assert one.logged('"fleet.founded"')
-            assert one.logged('"fleet.lease_expired"')
+            await wait_for_lease(first, 1)
+            assert first.logged('"fleet.founded"')
+            assert first.logged('"fleet.lease_expired"')
 
     run(test)
 
 
 def test_invalid_packets_and_calls_are_dropped_and_counted(tmp_path: Path) -> None:
-    """A flood of foreign, cut, repeated and wrongly sealed packets, and calls of all such kinds."""
+    """Random, truncated, replayed and wrongly signed packets, and invalid calls, must not affect the view."""
 
     async def test() -> None:
-        async with fleet_of_three(tmp_path) as (site, (one, *_), _gates):
-            before = await fleet_status(one)
+        async with fleet_of_three(tmp_path) as (site, (first, *_), _gates):
+            before = await fleet_status(first)
             host, _, port = site.fleet_address("r0").partition(":")
             target, random = (host, int(port)), Random(1)
             packet = m.Packet(2, 2, "r9", 7, "r0", 0, 1, None, 0, False, 0, None, 0, messages=(m.Ping(1),))
-            sealed = MessageAuthenticator(KEY).sign(m.encode(packet))
-            wrong = MessageAuthenticator(b"another key of the same length..").sign(m.encode(packet))
-            future = MessageAuthenticator(KEY).sign(
+            signed = MessageAuthenticator(KEY).sign(m.encode(packet))
+            wrong_key = MessageAuthenticator(b"another key of the same length..").sign(m.encode(packet))
+            future_version = MessageAuthenticator(KEY).sign(
                 m.encode(m.Packet(99, 99, "r9", 7, "r0", 0, 2, None, 0, False, 0, None, 0))
             )
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
                 for n in range(4000):
                     junk = random.randbytes(random.choice((0, 1, 15, 16, 17, 300, 5000)))
                     sock.sendto(
-                        random.choice((junk, wrong, sealed[:-1], sealed + b"x", sealed, future)), target
+                        random.choice((junk, wrong_key, signed[:-1], signed + b"x", signed, future_version)),
+                        target,
                     )
                     if n % 50 == 0:
                         await asyncio.sleep(0.005)
@@ -236,7 +237,7 @@
                 writer.write_eof()
                 assert len(await reader.read(-1)) <= 16
                 writer.close()
-            after = await fleet_status(one)
+            after = await fleet_status(first)
             counts = after["counts"]
             assert counts["dropped_seal"] > 500
             assert counts["dropped_version"] > 100
@@ -250,23 +251,25 @@
 
 def test_a_restarted_relay_continues_its_epoch_and_a_state_file_has_one_process(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet_of_three(tmp_path) as (site, (one, _two, three_), _gates):
-            line_before = (await fleet_status(one))["view"].partition("/")[0]
-            three_.killed = True
-            three_.process.kill()
-            await wait_for_lease(one, 2)
-            async with site.relay("r2") as again:
-                assert (await wait_for_lease(again, 3))["view"].partition("/")[0] == line_before
-                assert again.logged('"fleet.view_restored"')
-                second = await run_command("serve", "--config", str(site.config("r9", state="r2.state")))
-                assert second.returncode == 2
-                assert "another process holds it" in second.stderr
+        async with fleet_of_three(tmp_path) as (site, (first, _second, third), _gates):
+            epoch_before = (await fleet_status(first))["view"].partition("/")[0]
+            third.killed = True
+            third.process.kill()
+            await wait_for_lease(first, 2)
+            async with site.relay("r2") as restarted:
+                assert (await wait_for_lease(restarted, 3))["view"].partition("/")[0] == epoch_before
+                assert restarted.logged('"fleet.view_restored"')
+                other_process = await run_command(
+                    "serve", "--config", str(site.config("r9", state="r2.state"))
+                )
+                assert other_process.returncode == 2
+                assert "another process holds it" in other_process.stderr
 
     run(test)
 
 
 @pytest.mark.parametrize(
-    ("values", "said"),
+    ("fleet_settings", "message"),
     [
         ({"key": "absent.key"}, "absent.key: No such file"),
         ({"key": "short.key"}, "found 5 bytes, expected a key of 16 to 64"),
@@ -277,7 +280,7 @@
     ],
 )
 def test_an_unusable_fleet_configuration_ends_with_one_line_and_status_2(
-    tmp_path: Path, values: dict[str, Any], said: str
+    tmp_path: Path, fleet_settings: dict[str, Any], message: str
 ) -> None:
     (tmp_path / "short.key").write_bytes(b"short\n")
     (tmp_path / "broken.state").write_bytes(os.urandom(1 << 20))
@@ -285,10 +288,10 @@
     async def test() -> None:
         async with GateServer() as gate, Discovery(gate) as discovery:
             site = Site(tmp_path, 3, **line_front(discovery))
-            found = await run_command("serve", "--config", str(site.config("r0", **values)))
-            assert found.returncode == 2
-            assert said in found.stderr
-            assert "Traceback" not in found.stderr
+            result = await run_command("serve", "--config", str(site.config("r0", **fleet_settings)))
+            assert result.returncode == 2
+            assert message in result.stderr
+            assert "Traceback" not in result.stderr
 
     run(test)
 
@@ -306,5 +309,5 @@
     assert all(f"`{name}" in page for name in named)
     for path in (ROOT / "violetdoor").rglob("*.py"):
         if path.name != "events.py" and path.parent.name != "faults":
-            said = [name for name in named if f'"{name}"' in path.read_text()]
-            assert not said, f"{path.name} names {said}"
+            found = [name for name in named if f'"{name}"' in path.read_text()]
+            assert not found, f"{path.name} has event names as literals: {found}"
