--- a/tests/recorded/record_data.py
+++ b/tests/recorded/record_data.py
@@ -1,7 +1,7 @@
-"""Record the bytes of the upgrade, the bans file and the wire, once, with the code of revision 300e9a1.
+"""Record the bytes of upgrades, the bans file and the client protocols with the code of revision 300e9a1.
 
 `PYTHONPATH=.:tests .venv/bin/python tests/recorded/record_data.py` writes `upgrade.json`, `bans.json` and
-`wire.json` beside this file. A file that exists is left alone: recorded bytes are never recorded anew.
+`wire.json` beside this file. Existing files are not overwritten: recorded bytes must not be recorded again.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
     ):
         path = FOLDER / f"{name}.json"
         if path.exists():
-            print(f"{path.name} is there already")
+            print(f"{path.name} exists and is not overwritten")
             continue
         with tempfile.TemporaryDirectory() as folder:
             values = asyncio.run(sample(Path(folder)))
         path.write_text(json.dumps(values, indent=1) + "\n")
-        print(f"{path.name}: {len(values)} values")
+        print(f"{path.name}: {len(values)} values recorded")
 
 
 if __name__ == "__main__":
--- a/tests/recorded/record_fleet.py
+++ b/tests/recorded/record_fleet.py
@@ -1,6 +1,6 @@
-"""Record the bytes of fleet and control, as revision 300e9a1 writes them. Never to be run on a later revision.
+"""Record the bytes of fleet and control as written by revision 300e9a1. Must not be run on a later revision.
 
-From the root, at 300e9a1 with these files laid over it:
+Run from the root of a worktree of 300e9a1 into which the files of this folder were copied:
 
     PYTHONHASHSEED=0 PYTHONPATH=.:tests .venv/bin/python -m recorded.record_fleet
 """
@@ -22,21 +22,21 @@
 
 
 def control_frames() -> dict[str, list[str]]:
-    """Both sides of a connection to a control machine: the nonce, then frames."""
+    """Return the bytes of both sides of a connection to a control machine: the nonce, then the frames."""
     client = FrameCodec(MessageAuthenticator(fleet_samples.KEY), Side.CLIENT)
     server = FrameCodec(MessageAuthenticator(fleet_samples.KEY), Side.SERVER)
     client.nonce, server.nonce = fleet_samples.CLIENT_NONCE, fleet_samples.SERVER_NONCE
     assert list(client.feed(server.nonce)) == list(server.feed(client.nonce)) == []
-    asked = [encode(one) for one in control_samples.session_requests().values()]
-    answered = [encode(one) for one in control_samples.session_answers().values()]
+    requests = [encode(request) for request in control_samples.session_requests().values()]
+    responses = [encode(response) for response in control_samples.session_answers().values()]
     return {
-        "client": [client.nonce.hex(), *(client.frame(body).hex() for body in asked)],
-        "server": [server.nonce.hex(), *(server.frame(body).hex() for body in answered)],
+        "client": [client.nonce.hex(), *(client.frame(body).hex() for body in requests)],
+        "server": [server.nonce.hex(), *(server.frame(body).hex() for body in responses)],
     }
 
 
 def state_file() -> dict[str, Any]:
-    """The file after three writes: its length, and what its two slots hold up to their zeros."""
+    """Return the state file after three writes: its length, and its two slots without trailing zeros."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "relay.state"
         file = StateFile(path)
