--- a/violetdoor/fleet/endpoint.py
+++ b/violetdoor/fleet/endpoint.py
@@ -92,20 +92,21 @@
         self.state_path = state_path
         self.clock = clock
         self.routes = routes or {}
-        self.counts: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()  # counters shown in the console's `GET /fleet`
         self.view_listeners: list[ViewListener] = []
         self.entry_listeners: list[EntryListener] = []  # called when an entry of the shared map changes
         self.channel_handlers: dict[str, MessageHandler] = {}  # handlers of stream messages, by channel
+        # Called when the number of active relays has changed, with None if it is unknown.
         self.on_active_relays: Callable[[int | None], None] = _ignore_active_relays
         self.on_step: Callable[[], None] = _ignore_step  # called after each node step, before its actions
-        self.active_relays: int | None = None
+        self.active_relays: int | None = None  # the number that was last reported
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
         self.is_open = False
         self.joined = asyncio.Event()
         self.address = bind_address
-        self._had_no_prior_leases = True
-        self._last_rejection = ""
+        self._prior_leases_had_expired = True
+        self._last_rejection = ""  # reason of the last logged rejection since this relay was in a view
         self._make_transports()
         self.node = self._make_node(None)
 
@@ -310,9 +311,9 @@
 
     def _report_prior_leases(self) -> None:
         expired = self.node.prior_leases_expired(self.clock())
-        if expired and not self._had_no_prior_leases and self.node.view is not None:
+        if expired and not self._prior_leases_had_expired and self.node.view is not None:
             events.emit(log, events.FLEET_PRIOR_LEASES_EXPIRED, view=str(self.node.view.id))
-        self._had_no_prior_leases = expired
+        self._prior_leases_had_expired = expired
 
     def _set_timer(self) -> None:
         if self.timer is not None:
--- a/violetdoor/fleet/failure_detector.py
+++ b/violetdoor/fleet/failure_detector.py
@@ -86,7 +86,7 @@
         self._probe_order = ProbeOrder(random)
         self._relayed_probes: dict[int, RelayedProbe] = {}  # by the sequence number of the ping sent
         self._rumors = RumorQueue()
-        self._last_seq = 0
+        self._last_seq = 0  # sequence number of the last ping sent
         self._next_period_at = now + random.random() * PROBE_PERIOD_SECONDS
         self._period_count = 0
 
--- a/violetdoor/fleet/receiver.py
+++ b/violetdoor/fleet/receiver.py
@@ -47,7 +47,7 @@
         membership: Membership,
         heartbeat: Heartbeat,
         proposer: Proposer,
-        sync: AntiEntropy,
+        anti_entropy: AntiEntropy,
         joining: Joining,
         packets: Packets,
     ) -> None:
@@ -58,7 +58,7 @@
         self.membership = membership
         self.heartbeat = heartbeat
         self.proposer = proposer
-        self.sync = sync
+        self.anti_entropy = anti_entropy
         self.joining = joining
         self.packets = packets
 
@@ -104,7 +104,7 @@
         detector.death_proofs.clear()
         if packet.view is not None:
             self._handle_view_id(packet, packet.view, now)
-        self.sync.compare_map(packet.sender, packet.map_digest, now)
+        self.anti_entropy.compare_map(packet.sender, packet.map_digest, now)
 
     def _handle_view_id(self, packet: Packet, sender_view: ViewId, now: float) -> None:
         view = self.context.view
@@ -113,11 +113,11 @@
             if self.membership.should_yield_to(
                 sender_view.epoch, packet.view_size, now, has_lease=packet.has_lease
             ):
-                self.sync.catch_up(packet.sender)
+                self.anti_entropy.catch_up(packet.sender)
             return
         self.prior_leases.record_reported_view(packet.sender, sender_view)
         if sender_view.seq > view.seq:
-            self.sync.catch_up(packet.sender)
+            self.anti_entropy.catch_up(packet.sender)
         elif sender_view.seq == view.seq and packet.heartbeat_round is not None:
             self.heartbeat.receive(packet.heartbeat_round, now)
 
--- a/violetdoor/fleet/service.py
+++ b/violetdoor/fleet/service.py
@@ -50,8 +50,8 @@
         self.options = options
         self.takeover_timer: asyncio.TimerHandle | None = None
         self.endpoint = self._create_endpoint(options)
-        self.servers = SharedServerStates(host, self.endpoint.set_entry)
-        self.endpoint.entry_listeners.append(self.servers.apply)
+        self.shared_server_states = SharedServerStates(host, self.endpoint.set_entry)
+        self.endpoint.entry_listeners.append(self.shared_server_states.apply)
 
     def _create_endpoint(self, options: Options) -> FleetEndpoint:
         assert options.listen is not None  # a relay without it attaches: `violetdoor.control.service`
