--- a/tests/recorded/record_fleet.py
+++ b/tests/recorded/record_fleet.py
@@ -28,10 +28,10 @@
     client.nonce, server.nonce = fleet_samples.CLIENT_NONCE, fleet_samples.SERVER_NONCE
     assert list(client.feed(server.nonce)) == list(server.feed(client.nonce)) == []
     requests = [encode(request) for request in control_samples.session_requests().values()]
-    responses = [encode(response) for response in control_samples.session_answers().values()]
+    responses = [encode(response) for response in control_samples.session_responses().values()]
     return {
-        "client": [client.nonce.hex(), *(client.frame(body).hex() for body in requests)],
-        "server": [server.nonce.hex(), *(server.frame(body).hex() for body in responses)],
+        "client": [client.nonce.hex(), *(client.encode_frame(body).hex() for body in requests)],
+        "server": [server.nonce.hex(), *(server.encode_frame(body).hex() for body in responses)],
     }
 
 
@@ -50,7 +50,7 @@
 
 def messages(groups: list[tuple[wire_forms.Samples, wire_forms.Decoder | None]]) -> dict[str, Any]:
     samples = wire_forms.with_decoders(groups)
-    return {key: wire_forms.form(value, decoder) for key, (value, decoder) in samples.items()}
+    return {key: wire_forms.encoded_forms(value, decoder) for key, (value, decoder) in samples.items()}
 
 
 def main() -> None:
--- a/tests/recorded/wire_forms.py
+++ b/tests/recorded/wire_forms.py
@@ -34,7 +34,7 @@
     return [
         (control_samples.parts(), None),
         (control_samples.session_requests(), c.session_request_decoder),
-        (control_samples.session_answers(), c.session_response_decoder),
+        (control_samples.session_responses(), c.session_response_decoder),
         (control_samples.group_messages(), c.group_message_decoder),
         (control_samples.states(), None),
     ]
@@ -49,7 +49,7 @@
     }
 
 
-def form(value: Any, decoder: Decoder) -> dict[str, Any]:
+def encoded_forms(value: Any, decoder: Decoder) -> dict[str, Any]:
     """What is recorded of a sample: its bytes, and what older and newer senders' arrays are read as."""
     data = m.encode(value)
     items = msgspec.msgpack.decode(data)
--- a/tests/test_recorded_control.py
+++ b/tests/test_recorded_control.py
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("key", SAMPLES)
 def test_shorter_and_longer_arrays_are_read_as_recorded(key: str) -> None:
-    assert wire_forms.form(*SAMPLES[key]) == RECORDED["messages"][key]
+    assert wire_forms.encoded_forms(*SAMPLES[key]) == RECORDED["messages"][key]
 
 
 @pytest.mark.parametrize("key", [key for key in SAMPLES if "," not in key])
@@ -72,7 +72,7 @@
 def bodies() -> dict[Side, list[bytes]]:
     return {
         Side.CLIENT: [c.encode(one) for one in control_samples.session_requests().values()],
-        Side.SERVER: [c.encode(one) for one in control_samples.session_answers().values()],
+        Side.SERVER: [c.encode(one) for one in control_samples.session_responses().values()],
     }
 
 
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("side", Side)
 def test_frames_are_made_as_recorded(side: Side) -> None:
     codec = codecs()[side]
-    made = [codec.nonce.hex(), *(codec.frame(body).hex() for body in bodies()[side])]
+    made = [codec.nonce.hex(), *(codec.encode_frame(body).hex() for body in bodies()[side])]
     assert made == RECORDED_FRAMES[side]
 
 
@@ -114,7 +114,7 @@
 def test_service_hands_over_the_recorded_text() -> None:
     said: list[Message] = []
     service: Any = ControlService.__new__(ControlService)
-    service.client = SimpleNamespace(hand_over=control_samples.attachment_state)
+    service.client = SimpleNamespace(hand_over=control_samples.attachment_snapshot)
     service.host = SimpleNamespace(send_to_peer=said.append)
     service.on_successor_accepting()
     assert said == [ControlAttachment(handed_over_text())]
@@ -127,4 +127,4 @@
     service.handover_timer = None
     service.client = SimpleNamespace(is_open=False, start=started.append)
     service.on_message(ControlAttachment(handed_over_text()))
-    assert started == [control_samples.attachment_state()]
+    assert started == [control_samples.attachment_snapshot()]
--- a/violetdoor/fleet/endpoint.py
+++ b/violetdoor/fleet/endpoint.py
@@ -368,7 +368,7 @@
         if self.is_open:
             failed = 1 if response is None else 0
             self.counts["calls_failed"] += failed  # adding 0 makes the counter visible from the first call
-            self.node.handle_answer(call.number, response, self.clock(), refused=refused)
+            self.node.handle_response(call.number, response, self.clock(), refused=refused)
             self._execute_actions()
 
     async def _send_call_request(self, call: Call) -> Response:
