--- a/violetdoor/fleet/__init__.py
+++ b/violetdoor/fleet/__init__.py
@@ -1,7 +1,7 @@
 """Membership of a fleet of relays: failure detection, agreed views, leases, and a replicated map.
 
-`node` joins the parts of one relay, which decide without input or output. `endpoint` drives a node on
-sockets (with `datagrams`, `calls`, `streams` and `durable_output`), `state_file` holds what must outlive
-the process, and `service` is the program's part. docs/design/fleet-view.md has the parts, the promises and
-what they rest on.
+`node` combines the components of one relay, none of which does I/O. `endpoint` runs a node on sockets (with
+`datagrams`, `calls`, `streams` and `durable_output`), `state_file` stores the state that must survive a
+restart, and `service` integrates the fleet into the relay program. docs/design/fleet-view.md describes the
+components, the guarantees and the assumptions that they depend on.
 """
