--- a/violetdoor/fleet/agreement.py
+++ b/violetdoor/fleet/agreement.py
@@ -1,14 +1,15 @@
-"""Agreement on the view that follows another: one instance of single-decree Paxos (Lamport 2001) per view.
+"""Agreement on the successor of a view: one instance of single-decree Paxos (Lamport 2001) per view.
 
 The members of a view are the acceptors of its successor, so the views of one epoch form a chain in which each
-was accepted by a majority of the one before. The first ballot belongs to the first member and needs no first
+view was accepted by a majority of its predecessor. Ballot 0 belongs to the first member and skips the prepare
 phase.
 
-Before a change that removes dead members is proposed, a pre-vote (Raft's term) asks the others whether they
-hear those members. It binds nobody, and what Paxos guarantees does not rest on it. It guards against a relay
-that hears nobody and would remove all others, or against a member that only the proposer can't reach.
+Before a change that removes dead members is proposed, a pre-vote (Raft's term) asks the other members whether
+they still receive packets from those members. A pre-vote is not binding, and the safety of Paxos does not
+depend on it. It prevents the removal of all other members by a relay that receives nothing, and the removal
+of a member that only the proposer cannot reach.
 
-Without input or output: the caller sends `outgoing`, and makes `durable_state` durable before it does.
+This module does no I/O: the caller writes `durable_state` to disk and only then sends `outgoing`.
 """
 
 from __future__ import annotations
@@ -33,26 +34,27 @@
 from violetdoor.fleet.stored_state import DurableState
 from violetdoor.fleet.view import View, ViewChange
 
-RETRY_INTERVAL_SECONDS = 0.15  # until members that have not answered are asked again
-# Until a proposer gives up a ballot; the times below are this, multiplied by a random factor from these
-# ranges, so that two proposers do not keep in step.
+RETRY_INTERVAL_SECONDS = 0.15  # after which a request is sent again to members that have not answered
+# A proposer abandons a ballot after this time, and a member that receives another proposer's ballot backs off
+# for this time, each multiplied by a random factor from the ranges below, so that two proposers do not stay
+# synchronized.
 BALLOT_TIMEOUT_SECONDS = 1.0
 BALLOT_TIMEOUT_FACTORS = (1.0, 2.0)
 BACKOFF_FACTORS = (1.0, 1.5)
-NO_BALLOT = -1  # below all ballots
+NO_BALLOT = -1  # lower than every ballot
 
 
 class Phase(Enum):
-    """What a proposal waits for from a majority."""
+    """What a proposal needs from a majority before it advances."""
 
-    PRE_VOTE = "pre_vote"  # that they hear none of the dead
-    PREPARE = "prepare"  # promises to take part in no lower ballot
+    PRE_VOTE = "pre_vote"  # confirmation that they receive nothing from the members to be removed
+    PREPARE = "prepare"  # promises to reject lower ballots
     ACCEPT = "accept"  # acceptances
 
 
 @dataclass(slots=True)
 class Proposal:
-    """The change that this relay proposes, and how far it got. Members are given by their index."""
+    """The change that this relay proposes, and its progress. Members are given by their index."""
 
     change: ViewChange
     started_at: float
@@ -60,10 +62,11 @@
     ballot: int = NO_BALLOT
     phase: Phase = Phase.PRE_VOTE
     voters: set[int] = field(default_factory=set)  # members that agreed in this phase
-    reported_alive: set[int] = field(default_factory=set)  # members of the change's dead that somebody hears
-    highest_accepted_ballot: int = NO_BALLOT  # among the promises; `change` is the one accepted there
-    expires_at: float = 0.0  # when this ballot is given up
-    ended: tuple[int, ...] = ()  # members of which a later instance has answered
+    # Members listed in `change.dead` from which some voter still receives packets.
+    reported_alive: set[int] = field(default_factory=set)
+    highest_accepted_ballot: int = NO_BALLOT  # in the promises received; `change` was accepted in that ballot
+    expires_at: float = 0.0  # when this ballot is abandoned
+    ended: tuple[int, ...] = ()  # members that have been replaced by a later instance, which has answered
 
 
 class Outgoing(NamedTuple):
@@ -74,28 +77,28 @@
 
 
 class Agreement:
-    """One relay's part, as proposer and acceptor, in deciding what follows `view`."""
+    """The proposer and acceptor of one relay for the successor of `view`."""
 
     def __init__(self, view: View, name: str, random: Random) -> None:
-        """Take part as the member `name` of the view."""
+        """Participate as the member `name` of the view."""
         self.view = view
         self.index = view.index_by_name[name]
         self.random = random
-        # The acceptor's state: these three must outlive a restart.
+        # State of the acceptor: these three values must survive a restart.
         self.promised_ballot = NO_BALLOT
         self.accepted_ballot = NO_BALLOT
         self.accepted_change: ViewChange | None = None
         self.decided_change: ViewChange | None = None
         self.proposal: Proposal | None = None
-        self.ballot_round = 0  # of this relay's next ballot; each round has one ballot for every member
-        self.pre_vote_number = 0  # of this relay's last pre-vote
+        self.ballot_round = 0  # of this relay's next ballot; a round has one ballot per member
+        self.pre_vote_number = 0  # number of this relay's last pre-vote
         self.outgoing: list[Outgoing] = []
-        self.reported_alive: set[int] = set()  # of the last proposal that expired
-        self.backoff_until = -math.inf  # another proposer is at work
+        self.reported_alive: set[int] = set()  # `Proposal.reported_alive` of the last proposal that expired
+        self.backoff_until = -math.inf  # no own proposal before this time, as another proposer is active
 
     @classmethod
     def restore(cls, state: DurableState, name: str, random: Random) -> Agreement:
-        """Continue with all that was promised before this process."""
+        """Restore the acceptor that a previous process of this relay was."""
         agreement = cls(state.view, name, random)
         agreement.promised_ballot = state.promised_ballot
         agreement.accepted_ballot = state.accepted_ballot
@@ -104,17 +107,17 @@
 
     @property
     def durable_state(self) -> DurableState:
-        """What a restart must not forget."""
+        """The view and the acceptor's state, which must survive a restart."""
         return DurableState(self.view, self.promised_ballot, self.accepted_ballot, self.accepted_change)
 
     @property
     def frozen(self) -> bool:
-        """Whether a change was accepted: this relay may give no heartbeat of this view any more."""
+        """Whether this relay has accepted a change: then it must not join further heartbeat rounds."""
         return self.accepted_change is not None
 
     @property
     def next_wake_at(self) -> float:
-        """When `wake` has something to do."""
+        """When `wake` is next due."""
         proposal = self.proposal
         if proposal is None:
             return math.inf
@@ -123,9 +126,9 @@
     # Proposer.
 
     def propose(self, change: ViewChange, now: float, ended: tuple[int, ...] = ()) -> None:
-        """Propose a change; one that was accepted before is proposed in its place.
+        """Propose a change. If this relay has accepted another change, it proposes that one instead.
 
-        `ended`: the indices of members of which a later instance is known to have answered.
+        `ended` has the indices of members that have been replaced by a later instance, which has answered.
         """
         if self.proposal is not None or self.decided_change is not None:
             return
@@ -141,7 +144,7 @@
             self.start_ballot(proposal, now)
 
     def wake(self, now: float) -> None:
-        """Ask again, or give up a ballot that gets no majority."""
+        """Repeat the request to members that have not agreed, or abandon a proposal that has expired."""
         proposal = self.proposal
         if proposal is None:
             return
@@ -152,7 +155,7 @@
             self._send_phase_request(proposal, now)
 
     def _advance(self, proposal: Proposal, now: float) -> None:
-        """Enter the next phase if this one has its majority, else send its request."""
+        """Enter the next phase if a majority has agreed in this one, else send this phase's request."""
         if len(proposal.voters) < self.view.majority:
             self._send_phase_request(proposal, now)
         elif proposal.phase is Phase.PRE_VOTE:
@@ -163,9 +166,10 @@
             self._decide(proposal.change)
 
     def _send_phase_request(self, proposal: Proposal, now: float) -> None:
-        """Send the phase's request to all members that have not answered.
+        """Send the request of the current phase to all members that have not agreed yet.
 
-        Also to those that the change removes: one that has restarted remembers its promises, and may vote.
+        The members that the change removes get it, too: one that has restarted restored its promises and may
+        vote.
         """
         proposal.last_sent_at = now
         request = self._phase_request(proposal)
@@ -182,7 +186,7 @@
         return Accept(base, proposal.ballot, proposal.change)
 
     def start_ballot(self, proposal: Proposal, now: float) -> None:
-        """Start this relay's next ballot: ask for promises, if any lower ballot is possible."""
+        """Start this relay's next ballot, with the prepare phase unless it is ballot 0, the lowest."""
         size = len(self.view.members)
         if self.promised_ballot >= 0:
             self.ballot_round = max(self.ballot_round, self.promised_ballot // size + 1)
@@ -220,7 +224,7 @@
     # Messages.
 
     def receive(self, sender: int, message: Message, now: float, alive: set[int]) -> None:
-        """Handle a message of the member at this index; `alive`: indices of those that this relay hears."""
+        """Handle a message of the member at index `sender`; `alive` has the indices of members alive here."""
         match message:
             case PreVoteRequest():
                 self._handle_pre_vote_request(sender, message, alive)
@@ -241,9 +245,9 @@
                 self.proposal = None
 
     def _handle_pre_vote_request(self, sender: int, request: PreVoteRequest, alive: set[int]) -> None:
-        doubted = set(request.change.dead) - set(request.ended)
-        heard = tuple(sorted(doubted & alive))
-        self.outgoing.append(Outgoing(sender, PreVoteResponse(self.view.id, request.number, heard)))
+        suspected = set(request.change.dead) - set(request.ended)
+        still_alive = tuple(sorted(suspected & alive))
+        self.outgoing.append(Outgoing(sender, PreVoteResponse(self.view.id, request.number, still_alive)))
 
     def _handle_pre_vote_response(self, sender: int, response: PreVoteResponse, now: float) -> None:
         proposal = self.proposal
@@ -300,7 +304,7 @@
             self.proposal = None
 
     def _proposal_in(self, phase: Phase, ballot: int) -> Proposal | None:
-        """Return the current proposal if it is in this phase of this ballot."""
+        """Return the current proposal if it is in this phase of this ballot, else None."""
         proposal = self.proposal
         if proposal is None or proposal.phase is not phase or proposal.ballot != ballot:
             return None
@@ -315,9 +319,9 @@
         self.outgoing.append(Outgoing(sender, Rejected(self.view.id, ballot, self.promised_ballot)))
 
     def _back_off_for(self, ballot: int, now: float) -> None:
-        """Let the proposer of a ballot at least as high finish, and drop an own proposal that is lower.
+        """Delay own proposals, and abandon one whose ballot is lower than `ballot`.
 
-        Guards against two proposers that outbid each other for as long as both want a change.
+        This prevents a livelock of two proposers that keep preempting each other with higher ballots.
         """
         self.backoff_until = now + BALLOT_TIMEOUT_SECONDS * self.random.uniform(*BACKOFF_FACTORS)
         proposal = self.proposal
