--- a/violetdoor/fleet/proposer.py
+++ b/violetdoor/fleet/proposer.py
@@ -1,4 +1,4 @@
-"""What the next view is to change, and when this member proposes it. Without input or output."""
+"""Determines the next view change and when this member proposes it. No I/O."""
 
 from __future__ import annotations
 
@@ -14,64 +14,64 @@
 from violetdoor.fleet.messages import MAX_CHANGE_BYTES, encode
 from violetdoor.fleet.view import MAX_JOINS_PER_CHANGE, MAX_MEMBERS, Peer, View, ViewChange
 
-BATCH_DELAY_SECONDS = 0.15  # that a change waits for others that come together with it
-# That each later member waits longer until it proposes in the first one's place.
+BATCH_DELAY_SECONDS = 0.15  # before a change is proposed, so that simultaneous changes share one view
+# Additional delay of a member for each preceding member that may propose.
 PROPOSER_STAGGER_SECONDS = 0.4
-JOIN_REQUEST_TTL_SECONDS = 3.0  # for which a request to join counts; it is repeated meanwhile
-# For which a restarted relay that was heard counts as one that may propose.
+JOIN_REQUEST_TTL_SECONDS = 3.0  # after which a join request expires; the joining relay repeats it earlier
+# For this time after its last join request a restarted member counts as one that may propose.
 RESTARTED_TTL_SECONDS = 2.0
-# While a change is too long for a packet, this part of its joins is left for a later one, at least one join.
+# While a change is too long for a packet, one in this many of its joins, but at least one, is deferred.
 DEFERRED_JOINS_DIVISOR = 8
 
 
 @dataclass(slots=True, frozen=True)
 class PendingJoin:
-    """A relay that wants to join."""
+    """A relay that requested to join, and when the request expires."""
 
     peer: Peer
     expires_at: float
 
 
 class Proposer:
-    """Collects who wants to join, who leaves and who is dead, and proposes that to the agreement."""
+    """Collects joining, leaving and dead relays, and proposes their change to the agreement."""
 
     def __init__(self, context: NodeContext, departures: Departures, membership: Membership) -> None:
-        """Start without anything to propose."""
+        """Initialize without a change to propose."""
         self.context = context
         self.departures = departures
         self.membership = membership
         self.pending_joins: dict[str, PendingJoin] = {}
-        self.leaving_members: set[str] = set()  # that announced it
-        # When a later instance of a member was last heard of.
+        self.leaving_members: set[str] = set()  # names of members that announced that they leave
+        # When the last join request of a later instance of a member was received, by the member's name.
         self.restart_received_at: dict[str, float] = {}
-        self.change_wanted_since = math.inf
+        self.change_pending_since = math.inf  # infinite while there is no change to propose
 
     @property
     def next_wake_at(self) -> float:
-        """When `wake` has something to do."""
+        """When `wake` is next due."""
         agreement = self.context.agreement
         return math.inf if agreement is None else agreement.next_wake_at
 
     @property
     def has_pending_change(self) -> bool:
-        """Whether there is something to change."""
-        return self.context.agreement is not None and self.change_wanted_since < math.inf
+        """Whether there is a change to propose."""
+        return self.context.agreement is not None and self.change_pending_since < math.inf
 
     # Requests.
 
     def add_join_request(self, peer: Peer, now: float) -> None:
-        """Note that a relay wants to join."""
+        """Record a relay's request to join."""
         if peer.name in self.pending_joins or len(self.pending_joins) < MAX_MEMBERS:
             self.pending_joins[peer.name] = PendingJoin(peer, now + JOIN_REQUEST_TTL_SECONDS)
             self.context.wake_by(now)
 
     def request_rejoin(self) -> None:
-        """Ask that this relay, restarted, joins the view that it remembers."""
-        me = self.context.local_peer
-        self.pending_joins[me.name] = PendingJoin(me, math.inf)
+        """Record that this relay, which has restarted, is to join the view that it restored."""
+        local_peer = self.context.local_peer
+        self.pending_joins[local_peer.name] = PendingJoin(local_peer, math.inf)
 
     def record_leave(self, name: str, instance: int, now: float) -> None:
-        """Note that a member leaves."""
+        """Record a member's announcement that it leaves."""
         self.leaving_members.add(name)
         self.departures.record_departure(instance)
         self.context.wake_by(now)
@@ -79,32 +79,34 @@
     # Proposing.
 
     def wake(self, now: float) -> None:
-        """Propose what is wanted once it is this member's turn."""
+        """Propose the pending change once the delay of this member's rank has passed."""
         agreement = self.context.agreement
         view = self.context.view
         if agreement is None or view is None:
             return
         agreement.wake(now)
-        wanted = self._wanted_change(view, now)
-        if not wanted and not agreement.frozen:
-            self.change_wanted_since = math.inf
+        change = self._pending_change(view, now)
+        if not change and not agreement.frozen:
+            self.change_pending_since = math.inf
             return
-        if self.change_wanted_since == math.inf:
-            self.change_wanted_since = now
+        if self.change_pending_since == math.inf:
+            self.change_pending_since = now
         self._probe_reported_alive(agreement, view, now)
-        turn_at = self.change_wanted_since + BATCH_DELAY_SECONDS + PROPOSER_STAGGER_SECONDS * self._rank(now)
-        if now >= turn_at and agreement.proposal is None:
+        propose_at = (
+            self.change_pending_since + BATCH_DELAY_SECONDS + PROPOSER_STAGGER_SECONDS * self._rank(now)
+        )
+        if now >= propose_at and agreement.proposal is None:
             ended = tuple(sorted(self._ended_indices(view)))
-            agreement.propose(wanted or agreement.accepted_change or wanted, now, ended)
+            agreement.propose(change or agreement.accepted_change or change, now, ended)
 
     def _probe_reported_alive(self, agreement: Agreement, view: View, now: float) -> None:
-        """Probe members that the last failed pre-vote reported to be alive."""
+        """Probe the members that voters of the last expired proposal reported alive."""
         for index in agreement.reported_alive:
             self.context.detector.probe_now(view.members[index].name, now)
         agreement.reported_alive = set()
 
     def apply_decision(self, now: float) -> None:
-        """Send what the agreement wants sent, and install the view that it has decided."""
+        """Queue the agreement's messages, and install the view that it has decided, if any."""
         agreement = self.context.agreement
         view = self.context.view
         if agreement is None or view is None:
@@ -116,16 +118,17 @@
             self.membership.install(view.apply(agreement.decided_change), now, view)
 
     def _rank(self, now: float) -> int:
-        """Return how many members that may propose precede this one."""
+        """Return how many preceding members of the view may propose."""
         return sum(1 for peer in self.context.members_before_local() if self._may_propose(peer.name, now))
 
     def _may_propose(self, name: str, now: float) -> bool:
+        """Return whether a member is alive, or has restarted and recently requested to join."""
         if self.context.detector.is_alive(name):
             return True
         return now < self.restart_received_at.get(name, -math.inf) + RESTARTED_TTL_SECONDS
 
-    def _wanted_change(self, view: View, now: float) -> ViewChange:
-        """Return what the next view is to change, as far as this relay knows."""
+    def _pending_change(self, view: View, now: float) -> ViewChange:
+        """Return the change to propose according to what this relay knows."""
         departed = _indices(view, self.leaving_members)
         dead = _indices(view, self.context.detector.dead_names()) | self._ended_indices(view)
         dead -= departed
@@ -136,9 +139,9 @@
             pending.peer for pending in self.pending_joins.values() if self._may_join(pending.peer, view)
         ]
         replaced = _indices(view, [peer.name for peer in joins])
-        free_places = MAX_MEMBERS - len(view.members) + len(dead | departed)
-        joins = joins[: max(0, min(MAX_JOINS_PER_CHANGE, free_places))]
-        # The earlier instances of all that want to join are removed, also where they join only later.
+        free_slots = MAX_MEMBERS - len(view.members) + len(dead | departed)
+        joins = joins[: max(0, min(MAX_JOINS_PER_CHANGE, free_slots))]
+        # The earlier instance of every joining relay is removed now, even if its join is deferred.
         dead = (dead | replaced) - departed
         change = _change(dead, departed, joins)
         while joins and len(encode(change)) > MAX_CHANGE_BYTES:
@@ -147,7 +150,7 @@
         return change
 
     def _may_join(self, peer: Peer, view: View) -> bool:
-        """Return whether an instance may join: it is no member, and no earlier instance may be alive."""
+        """Return whether an instance may join: it is not a member, and no earlier instance can be alive."""
         member = view.member(peer.name)
         if member is None:
             return True
@@ -164,7 +167,7 @@
     # Views.
 
     def on_view_installed(self, _old: View | None, view: View, _now: float) -> None:
-        """Drop what the view has done, and what belongs to relays that are no members."""
+        """Drop requests that the new view fulfills, and records of relays that are no longer members."""
         self.leaving_members &= view.index_by_name.keys()
         self.restart_received_at = {
             name: at for name, at in self.restart_received_at.items() if name in view.index_by_name
@@ -175,14 +178,14 @@
         self.change_wanted_since = math.inf
 
     def on_view_left(self, _now: float) -> None:
-        """Drop what belonged to the view: this relay stands in none any more."""
+        """Drop all state that belongs to the view."""
         self.pending_joins = {}
         self.leaving_members = set()
         self.restart_received_at = {}
 
 
 def _indices(view: View, names: Iterable[str]) -> set[int]:
-    """Return the indices of those of the names that are members."""
+    """Return the indices of the members with these names; other names are ignored."""
     return {view.index_by_name[name] for name in names if name in view.index_by_name}
 
 
