--- a/violetdoor/fleet/bitmap.py
+++ b/violetdoor/fleet/bitmap.py
@@ -1,21 +1,21 @@
-"""Bitmaps of a view's members, packed as short as they can be. Without input or output.
+"""Bitmaps of a view's members, packed in the shortest of three formats.
 
-A bitmap is an integer whose bit N stands for the member at index N. Packed it is a byte that tells the
-format, then the bits themselves or a list of indices, little-endian.
+A bitmap is an integer whose bit N represents the member at index N. A packed bitmap is one format byte
+followed by the bits or by a list of indices, little-endian.
 """
 
 from __future__ import annotations
 
-INDEX_BYTES = 2  # of a member's index in a list
+INDEX_BYTES = 2  # bytes of one member index in a list
 
-# The first byte of a packed bitmap.
-RAW_FORMAT = 0  # all bits follow
-PRESENT_FORMAT = 1  # the indices of the bits that are set follow
-ABSENT_FORMAT = 2  # the indices of the bits that are not set follow
+# Values of the format byte.
+RAW_FORMAT = 0  # followed by all bits
+PRESENT_FORMAT = 1  # followed by the indices of the bits that are set
+ABSENT_FORMAT = 2  # followed by the indices of the bits that are not set
 
 
 def pack_bitmap(bits: int, size: int) -> bytes:
-    """Pack a bitmap of so many members in the shortest format."""
+    """Pack a bitmap of `size` members in the shortest format."""
     set_count = bits.bit_count()
     raw_bytes = (size + 7) // 8
     if min(set_count, size - set_count) * INDEX_BYTES >= raw_bytes:
@@ -26,7 +26,7 @@
 
 
 def unpack_bitmap(data: bytes, size: int) -> int:
-    """Unpack a bitmap; bits that no member has are left out."""
+    """Unpack a bitmap of `size` members; bits of indices beyond the members are ignored."""
     if not data or data[0] == RAW_FORMAT:
         return int.from_bytes(data[1:], "little") & _all_set(size)
     bits = 0
--- a/violetdoor/fleet/clock.py
+++ b/violetdoor/fleet/clock.py
@@ -1,4 +1,4 @@
-"""The clock that leases are measured by."""
+"""Clocks of the fleet: a monotonic one for leases and timers, and Unix time."""
 
 from __future__ import annotations
 
@@ -8,10 +8,13 @@
 
 
 def boot_time() -> float:
-    """Return seconds of the clock that runs on while the machine sleeps: a lease must not outlive a sleep."""
+    """Return the monotonic time in s, including time in which the machine sleeps.
+
+    A lease must expire even if the machine sleeps meanwhile.
+    """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def unix_time_ms() -> float:
-    """Return the Unix time in ms, which an administrator or NTP may set."""
+    """Return the Unix time in ms, which may jump when an administrator or NTP sets it."""
     return time.time() * MILLISECONDS_PER_SECOND
