--- a/violetdoor/fleet/founding.py
+++ b/violetdoor/fleet/founding.py
@@ -1,8 +1,8 @@
-"""Beginning an epoch: the first one of a fleet, or one that an operator forces. Without input or output.
+"""Founding of epochs: the first one of a fleet, or one that an operator forces. No I/O.
 
-A first epoch needs the votes of a majority of the founders, whose durable state has none and who know of
-none that is live. A forced one needs the votes of all members that are reached. A voter holds no lease,
-makes no promise in its old view any more, and votes for no other epoch for `VOTE_TTL_SECONDS`.
+The first epoch needs the votes of a majority of the founders, none of which has an epoch in its durable state
+or knows of a live one. A forced epoch needs the votes of all reachable members. A voter holds no lease, makes
+no further promise in its old view, and votes for no other epoch for `VOTE_TTL_SECONDS`.
 """
 
 from __future__ import annotations
@@ -23,31 +23,32 @@
 )
 from violetdoor.fleet.view import EPOCH_RANDOM_BITS, MAX_MEMBERS, Peer, View, ViewId, sorted_by_name
 
-CANDIDATE_TTL_SECONDS = 3.0  # for which another relay counts as one that is in no view
-LEASE_HOLDER_TTL_SECONDS = 2.0  # for which a relay that holds a lease keeps this one from founding
-VOTE_RETRY_DELAY_SECONDS = 0.15  # until those that have not voted are asked again
-FOUNDING_TIMEOUT_SECONDS = 1.5  # until a founding is given up
-VOTE_TTL_SECONDS = 2 * FOUNDING_TIMEOUT_SECONDS  # for which a relay that has voted votes for no other epoch
-BLOCKING_BALLOT = 1 << 62  # above all ballots: once it is promised, nothing is decided in that view any more
+CANDIDATE_TTL_SECONDS = 3.0  # after its last message another relay counts as a candidate for this time
+# After a report that another relay holds a lease this relay neither founds an epoch nor votes for one.
+LEASE_HOLDER_TTL_SECONDS = 2.0
+VOTE_RETRY_DELAY_SECONDS = 0.15  # after which missing votes are requested again
+FOUNDING_TIMEOUT_SECONDS = 1.5  # after which an attempt to found an epoch is abandoned
+VOTE_TTL_SECONDS = 2 * FOUNDING_TIMEOUT_SECONDS  # during which a voter votes for no other epoch
+BLOCKING_BALLOT = 1 << 62  # above all ballots: a member that promised it rejects every ballot of its view
 
 
 class ForceRefusedError(Exception):
-    """An epoch cannot be forced; the text gives operators the reason."""
+    """An epoch cannot be forced; the message tells operators the reason."""
 
 
 class NoViewError(ForceRefusedError):
-    """There is no view whose members could go on."""
+    """An epoch cannot be forced because this relay is not in any view."""
 
     def __init__(self) -> None:
-        """Give the reason."""
-        super().__init__("this relay is in no view")
+        """Set the message."""
+        super().__init__("this relay is not in any view")
 
 
 class MajorityReachedError(ForceRefusedError):
-    """A majority of the view can decide by itself."""
+    """An epoch cannot be forced because a majority of the view is reachable and can decide by itself."""
 
     def __init__(self, reached: int, size: int) -> None:
-        """Name how many of how many members are reached."""
+        """Store the numbers of reachable members and of all members."""
         super().__init__(f"a majority is reached: {reached} of {size}")
         self.reached = reached
         self.size = size
@@ -55,17 +56,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Candidate:
-    """Another relay that is in no view."""
+    """Another relay that is not in any view."""
 
     peer: Peer
     is_founder: bool
-    started_at: float  # by this relay's clock
+    started_at: float  # when its process started, by this relay's clock
     last_received_at: float
 
 
 @dataclass(slots=True, frozen=True)
 class FoundingVote:
-    """The epoch that this relay has voted for, and when."""
+    """The epoch that this relay has voted for, and the time of the vote."""
 
     epoch: int
     granted_at: float
@@ -73,57 +74,57 @@
 
 @dataclass(slots=True)
 class FoundingAttempt:
-    """An epoch that this relay is about to begin. Votes are requested over TCP, as a view may be long."""
+    """An attempt of this relay to found an epoch. Votes are requested over TCP, as a view may be long."""
 
-    view: View
-    base: ViewId | None  # the view that its survivors are in, if any
-    voters: frozenset[str]
-    quorum: int  # votes of these voters that are needed
+    view: View  # the first view of the epoch
+    base: ViewId | None  # the view that the founding relay and its voters leave; None for a first epoch
+    voters: frozenset[str]  # names of the relays whose votes count
+    quorum: int  # required number of their votes
     forced: bool
     started_at: float
     votes_requested_at: float = -math.inf
-    votes: set[str] = field(default_factory=set)
+    votes: set[str] = field(default_factory=set)  # names of the relays that have voted for the epoch
 
     @property
     def has_quorum(self) -> bool:
-        """Whether enough voters have voted for it."""
+        """Whether enough voters have voted for the epoch."""
         return len(self.votes & self.voters) >= self.quorum
 
 
 class Founder:
-    """Begins epochs, and votes on those that others begin."""
+    """Founds epochs, and votes on epochs that other relays found."""
 
     def __init__(self, context: NodeContext, departures: Departures, membership: Membership) -> None:
-        """Use these parts of the node."""
+        """Initialize with the components that it depends on."""
         self.context = context
         self.departures = departures
         self.membership = membership
         self.attempt: FoundingAttempt | None = None
-        self.vote: FoundingVote | None = None  # the last one that was granted
-        self.candidates: dict[str, Candidate] = {}
+        self.vote: FoundingVote | None = None  # the last vote that this relay granted
+        self.candidates: dict[str, Candidate] = {}  # by name
 
     @property
     def is_founder(self) -> bool:
-        """Whether this relay may begin the first epoch."""
+        """Whether this relay may found the first epoch: it is a founder, and has never been in an epoch."""
         return self.context.config.name in self.context.config.founders and self.context.last_epoch == 0
 
     @property
     def next_wake_at(self) -> float:
-        """When `wake` has something to do."""
+        """When `wake` is next due."""
         if self.attempt is None:
             return math.inf
         return self.attempt.votes_requested_at + VOTE_RETRY_DELAY_SECONDS
 
     def add_candidate(self, peer: Peer, uptime: float, now: float, *, is_founder: bool) -> None:
-        """Record a relay that is in no view, and its uptime in s."""
+        """Record a relay that is not in any view, and its uptime in s."""
         self.candidates[peer.name] = Candidate(peer, is_founder, now - uptime, now)
         while len(self.candidates) > MAX_MEMBERS:
             del self.candidates[next(iter(self.candidates))]
 
-    def found_if_possible(self, now: float) -> None:
-        """Begin the first epoch, where this is the first of a majority of founders that know of none."""
+    def found_epoch_if_possible(self, now: float) -> None:
+        """Found the first epoch, if a majority of founders is ready and this is the first of them by name."""
         context = self.context
-        if self.attempt is not None or now < context.lease_holder_seen_at + LEASE_HOLDER_TTL_SECONDS:
+        if self.attempt is not None or now < context.lease_holder_reported_at + LEASE_HOLDER_TTL_SECONDS:
             return
         self._drop_old_candidates(now)
         if context.state is not MemberState.OUTSIDE:
@@ -138,7 +139,7 @@
         ready.add(context.config.name)
         majority = len(context.config.founders) // 2 + 1
         if len(ready) >= majority and min(ready) == context.config.name:
-            self._begin([], context.config.founders, majority, now)
+            self._start_attempt([], context.config.founders, majority, now)
 
     def _drop_old_candidates(self, now: float) -> None:
         self.candidates = {
@@ -148,9 +149,9 @@
         }
 
     def force_epoch(self, now: float) -> None:
-        """Begin an epoch with all members that are reached, though they are no majority of the view.
+        """Found an epoch with all reachable members, although they are not a majority of the view.
 
-        Raises ForceRefusedError where a majority is reached, or there is no view.
+        Raises ForceRefusedError if a majority is reachable, or this relay is not in any view.
         """
         context = self.context
         view = self.context.view
@@ -161,12 +162,15 @@
         reached = [peer for peer in view.members if peer.name not in ended and alive(peer.name)]
         if context.may_act(now) or len(reached) >= view.majority:
             raise MajorityReachedError(len(reached), len(view.members))
-        self._begin(reached, frozenset(peer.name for peer in reached), len(reached), now, forced=True)
+        self._start_attempt(reached, frozenset(peer.name for peer in reached), len(reached), now, forced=True)
 
-    def _begin(
+    def _start_attempt(
         self, peers: Iterable[Peer], voters: frozenset[str], quorum: int, now: float, *, forced: bool = False
     ) -> None:
-        """Request votes for an epoch of these peers, this relay and the candidates, voters first."""
+        """Start an attempt to found an epoch whose members are these peers, this relay and the candidates.
+
+        Above MAX_MEMBERS voters are admitted first.
+        """
         context = self.context
         members = {context.config.name: context.local_peer}
         members |= {peer.name: peer for peer in peers}
@@ -187,12 +191,12 @@
     def _new_epoch(self) -> int:
         context = self.context
         started_at_ms = int(context.unix_ms())
-        if context.view is not None:  # guards against a clock that was set back
+        if context.view is not None:  # the new epoch must be higher even if the clock was set back
             started_at_ms = max(started_at_ms, (context.view.epoch >> EPOCH_RANDOM_BITS) + 1)
         return started_at_ms << EPOCH_RANDOM_BITS | context.random.getrandbits(EPOCH_RANDOM_BITS)
 
     def grant_vote(self, request: EpochVoteRequest, now: float) -> bool:
-        """Return whether this relay votes for an epoch; if so, it gives up its lease and its promises."""
+        """Return whether this relay votes for an epoch; if so, it blocks its lease and its old agreement."""
         context = self.context
         epoch = request.view.epoch
         if (
@@ -201,8 +205,8 @@
             and now < self.vote.granted_at + VOTE_TTL_SECONDS
         ):
             return False
-        lease_holder_seen = now < context.lease_holder_seen_at + LEASE_HOLDER_TTL_SECONDS
-        if not request.view.contains(context.local_peer) or lease_holder_seen or context.may_act(now):
+        lease_holder_is_recent = now < context.lease_holder_reported_at + LEASE_HOLDER_TTL_SECONDS
+        if not request.view.contains(context.local_peer) or lease_holder_is_recent or context.may_act(now):
             return False
         if context.state is MemberState.OUTSIDE:
             if context.last_epoch or not _forgotten_leases_expired(context.started_at, now):
@@ -218,7 +222,7 @@
         return True
 
     def has_voted_for(self, epoch: int) -> bool:
-        """Return whether the last vote was for this epoch."""
+        """Return whether this relay's last vote was for this epoch."""
         return self.vote is not None and self.vote.epoch == epoch
 
     def record_vote(self, name: str, epoch: int, now: float) -> None:
@@ -228,7 +232,7 @@
             self.wake(now)
 
     def wake(self, now: float) -> None:
-        """Begin the epoch if it has its votes; request them again, or give it up."""
+        """Complete the attempt if it has its quorum; otherwise abandon it, or request missing votes again."""
         attempt = self.attempt
         if attempt is None:
             return
@@ -254,15 +258,18 @@
                 self.context.outbox.start_call(peer.address, request, peer.name)
 
     def on_view_installed(self, _old: View | None, _view: View, _now: float) -> None:
-        """Stop founding: there is an epoch."""
+        """Abandon the attempt and drop the candidates: an epoch is live."""
         self.attempt = None
         self.candidates = {}
 
     def on_view_left(self, _now: float) -> None:
-        """Forget what belonged to the view: this relay is in none any more."""
+        """Abandon the attempt."""
         self.attempt = None
 
 
 def _forgotten_leases_expired(started_at: float, now: float) -> bool:
-    """Return whether no lease can rest on heartbeats from before a relay started, which it has forgotten."""
+    """Return whether all leases have expired that heartbeats from before a relay's start may support.
+
+    The relay does not remember those heartbeats.
+    """
     return now >= started_at + LEASE_EXPIRY_SECONDS
--- a/violetdoor/fleet/joining.py
+++ b/violetdoor/fleet/joining.py
@@ -1,4 +1,4 @@
-"""Joining the fleet, and admitting others. Without input or output."""
+"""Joining the fleet, and admission of other relays. No I/O."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 from violetdoor.fleet.stored_state import Readmission
 from violetdoor.fleet.view import MAX_MEMBERS, Address, Peer, View
 
-SEEK_INTERVAL_SECONDS = 0.4  # between two calls of a relay that is in no view, or whose lease has expired
-REJOIN_INTERVAL_SECONDS = 60.0  # between two admissions of one process that was removed in between
-SEEK_JITTER = (0.7, 1.3)  # factors between which the interval is drawn, so that relays do not call in step
-MAX_JOIN_FORWARDS = 3  # members that a request to join is forwarded to
+SEEK_INTERVAL_SECONDS = 0.4  # between two calls of a relay without a view or without a valid lease
+REJOIN_INTERVAL_SECONDS = 60.0  # minimum time between two readmissions of one process
+SEEK_JITTER_FACTORS = (0.7, 1.3)  # range of the interval's random factor, so that relays do not synchronize
+MAX_JOIN_FORWARDS = 3  # members that a join request is forwarded to
 MAX_RESTART_NOTICES = 5  # members of its old view that a restarted relay notifies
 
 
 class Joining:
-    """Looks for the fleet while this relay is no member, and responds to relays that look for it."""
+    """Seeks the fleet while this relay holds no lease, and handles requests of relays that want to join."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         sync: AntiEntropy,
         next_seek_at: float,
     ) -> None:
-        """Use these parts of the node; seek the fleet from `next_seek_at` on."""
+        """Initialize with the components that it depends on; the first call is made at `next_seek_at`."""
         self.context = context
         self.departures = departures
         self.membership = membership
@@ -51,29 +51,30 @@
         self.founder = founder
         self.sync = sync
         self.next_seek_at = next_seek_at
-        self.seek_targets: list[Address] = []  # to be called next, the last one first
-        self.pending_call: int | None = None  # to a member that sent a packet to this instance
-        self.readmissions: dict[str, Readmission] = {}  # of processes that were removed, by name
+        self.seek_targets: list[Address] = []  # addresses still to be called in this pass, the last one first
+        self.pending_call: int | None = None  # number of the call that `contact_member` started, if pending
+        self.readmissions: dict[str, Readmission] = {}  # processes that were removed, by their relays' names
 
-    # As no member.
+    # Joining.
 
     def wake(self, now: float) -> None:
-        """Ask a relay for the fleet's view, if it is time."""
+        """Once per interval, request the view from the next relay and found an epoch if possible."""
         if now < self.next_seek_at:
             return
-        self.next_seek_at = now + SEEK_INTERVAL_SECONDS * self.context.random.uniform(*SEEK_JITTER)
+        self.next_seek_at = now + SEEK_INTERVAL_SECONDS * self.context.random.uniform(*SEEK_JITTER_FACTORS)
         if (address := self._next_target()) is not None:
             if self.context.view is None:
                 self._send_hello(address, now)
             else:
                 self.sync.request_view(address)
             self._announce_restart()
-        self.founder.found_if_possible(now)
+        self.founder.found_epoch_if_possible(now)
 
     def _next_target(self) -> Address | None:
-        """Return the next address to call: each in turn.
+        """Return the next address to call; None if there is none.
 
-        Guards against one running seed among dead ones that a draw at each time could miss for long.
+        Every address is called once per pass, in random order. With an independent random choice for each
+        call, a single live seed among dead ones could be missed for a long time.
         """
         context = self.context
         addresses = {*context.config.seeds, *context.member_addresses.values()} - {context.config.address}
@@ -86,7 +87,10 @@
         return self.seek_targets.pop()
 
     def _announce_restart(self) -> None:
-        """Notify the first members of the old view: all may have restarted, and one of them readmits all."""
+        """Request readmission from the first members of the old view if this relay has restarted.
+
+        All members may have restarted at once, and then one of these members readmits all of them.
+        """
         if self.context.state is not MemberState.RECOVERING:
             return
         for peer in self.context.other_members()[:MAX_RESTART_NOTICES]:
@@ -98,7 +102,7 @@
         return context.outbox.start_call(address, hello)
 
     def contact_member(self, packet: Packet, source: Address, now: float) -> None:
-        """Ask a member that knows this instance for its view: it was admitted there, and does not know."""
+        """Request the view of a member that addresses this instance: this relay may have been admitted."""
         if self.pending_call is not None or packet.view is None or not packet.recipient_instance:
             return
         view = self.context.view
@@ -109,18 +113,21 @@
             self.pending_call = self.sync.request_view(source)
 
     def end_call(self, call_number: int) -> None:
-        """Note that a call has its response, or has none."""
+        """Record that a call has ended, with or without a response."""
         if call_number == self.pending_call:
             self.pending_call = None
 
     def learn_view(self, view: View, now: float, *, has_lease: bool) -> None:
-        """Learn that another relay is in this view; `has_lease`: it holds a lease there."""
+        """Handle another relay's view: install it, yield to its epoch, or ignore it.
+
+        `has_lease` tells whether the other relay holds a lease in this view.
+        """
         context = self.context
         local_view = self.context.view
         if has_lease:
-            context.lease_holder_seen_at = now
+            context.lease_holder_reported_at = now
         if local_view is None:
-            context.member_addresses |= {p.name: p.address for p in view.members}
+            context.member_addresses |= {peer.name: peer.address for peer in view.members}
             if view.contains(context.local_peer) or self.membership.may_vote_after(view):
                 self.membership.install(view, now, None)
         elif view.epoch == local_view.epoch:
@@ -131,14 +138,14 @@
         elif self.membership.should_yield_to(view.epoch, len(view.members), now, has_lease=has_lease):
             self.membership.leave(view, now)
 
-    def wait_for_view(self, now: float) -> None:
-        """Call again soon: a member said that this relay is being admitted."""
-        self.context.lease_holder_seen_at = now
+    def handle_join_pending(self, now: float) -> None:
+        """Schedule the next call early, as a member reported that this relay is being admitted."""
+        self.context.lease_holder_reported_at = now
         self.next_seek_at = min(self.next_seek_at, now + SEEK_INTERVAL_SECONDS / 2)
 
-    # Admitting others.
+    # Admission of other relays.
 
-    def answer_hello(self, hello: Hello, now: float) -> Response:
+    def handle_hello(self, hello: Hello, now: float) -> Response:
         """Return the response to a relay that wants to join."""
         context = self.context
         peer = hello.peer
@@ -158,19 +165,19 @@
             self._forward_join(peer, view)
         else:
             self.founder.add_candidate(peer, hello.uptime_seconds, now, is_founder=hello.is_founder)
-        # Its durable state may have that epoch, and its vote be needed to decide what follows.
+        # The relay's durable state may contain this epoch, and its vote may be needed for the next view.
         if peer.name in view.index_by_name:
             return StateSnapshot(view, has_lease, self.sync.entries())
         return JoinRejected("pending" if has_lease else "stale")
 
     def _rejection(self, peer: Peer, view: View, now: float) -> JoinRejected | None:
-        """Return the rejection of a relay that may not join; None where it may."""
+        """Return the rejection of a relay that must not join; None if it may join."""
         if peer.name == self.context.config.name:
             return JoinRejected("name")
         member = view.member(peer.name)
         if member is not None and peer.name not in self.departures.ended_members:
             if member.address == peer.address:
-                self.context.outbox.queue(peer.name, Ping(0))  # the answer says which instance is there
+                self.context.outbox.queue(peer.name, Ping(0))  # its ack has the instance that runs there
             if self.context.detector.is_alive(peer.name):
                 return JoinRejected("name")
         readmission = self.readmissions.get(peer.name)
@@ -185,7 +192,7 @@
         return None
 
     def _forward_join(self, peer: Peer, view: View) -> None:
-        """Forward a request to join to the members that may propose first."""
+        """Forward a join request to the first live members of the view, which propose first."""
         alive = [peer.name for peer in view.members if self.context.detector.is_alive(peer.name)]
         for name in alive[:MAX_JOIN_FORWARDS]:
             if name != self.context.config.name:
@@ -194,7 +201,7 @@
     # Views.
 
     def on_view_installed(self, old: View | None, view: View, now: float) -> None:
-        """Record which processes were removed, and which of them were admitted again."""
+        """Record the processes that the view removes, and those that it readmits."""
         if old is None or old.epoch != view.epoch:
             return
         table = self.readmissions
@@ -209,5 +216,5 @@
             del table[name]
 
     def on_view_left(self, now: float) -> None:
-        """Look for a view at once: this relay is in none any more."""
+        """Schedule the next call at once, as this relay is not in any view."""
         self.next_seek_at = now
--- a/violetdoor/fleet/requests.py
+++ b/violetdoor/fleet/requests.py
@@ -1,4 +1,4 @@
-"""Requests over TCP: responses to other relays' requests, and their responses. Without input or output."""
+"""Handling of other relays' requests over TCP, and of their responses to own requests. No I/O."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class RequestHandler:
-    """Passes requests and responses to the part of the node that they concern."""
+    """Dispatches requests and responses to the components of the node."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         sync: AntiEntropy,
         joining: Joining,
     ) -> None:
-        """Use these parts of the node."""
+        """Initialize with the components that handle the messages."""
         self.context = context
         self.departures = departures
         self.membership = membership
@@ -46,19 +46,19 @@
         self.joining = joining
 
     def handle_request(self, request: Request, now: float) -> Response | None:
-        """Return the response; None where the request is not for a node."""
+        """Return the response to a request; None if the request is not one for a node."""
         match request:
             case TcpPing():
                 return TcpAck(self.context.local_peer.instance)
             case SyncRequest():
-                return self._answer_sync(request, now)
+                return self._handle_sync_request(request, now)
             case Hello():
-                return self.joining.answer_hello(request, now)
+                return self.joining.handle_hello(request, now)
             case EpochVoteRequest():
                 return EpochVote(request.view.epoch, self.founder.grant_vote(request, now))
         return None
 
-    def _answer_sync(self, request: SyncRequest, now: float) -> StateSnapshot:
+    def _handle_sync_request(self, request: SyncRequest, now: float) -> StateSnapshot:
         context = self.context
         requester_view = request.view
         peer = request.peer
@@ -68,21 +68,21 @@
             local_view is not None and requester_view is not None and requester_view.epoch == local_view.epoch
         )
         if request.has_lease and not same_epoch:
-            context.lease_holder_seen_at = now
+            context.lease_holder_reported_at = now
             context.member_addresses[peer.name] = peer.address
             if requester_view is not None and self.membership.should_yield_to(
                 requester_view.epoch, request.view_size, now, has_lease=request.has_lease
             ):
                 self.membership.leave(None, now)
-        # A relay that was removed may be the only one left that knows what was decided.
+        # A relay that was removed may be the only live one that knows the latest decision.
         return StateSnapshot(context.view or context.latest_view, context.may_act(now), self.sync.entries())
 
     def handle_response(
         self, call_number: int, response: Response | None, now: float, *, refused: bool
     ) -> bool:
-        """Take the response to a call, None if there was none; return whether the call was this node's.
+        """Handle the response to a call, None if the call failed; return whether the call was pending.
 
-        `refused`: nobody listens at that address.
+        `refused` tells whether the connection was refused because no process listens at the address.
         """
         call = self.context.outbox.pending_calls.pop(call_number, None)
         self.sync.end_call(call_number)
@@ -90,10 +90,10 @@
         if call is None:
             return False
         match call.request, response:
-            case TcpPing(instance=asked), TcpAck(instance=answered):
-                self._handle_ping_answer(call, asked, answered, now)
-            case TcpPing(instance=asked), None if refused:
-                self.departures.confirm_failed(call.name, asked, now)
+            case TcpPing(instance=expected), TcpAck(instance=answering):
+                self._handle_tcp_ack(call, expected, answering, now)
+            case TcpPing(instance=expected), None if refused:
+                self.departures.confirm_failed(call.name, expected, now)
             case _, StateSnapshot(view=view, has_lease=has_lease, entries=entries):
                 self.sync.merge(entries, now)
                 if view is not None:
@@ -102,18 +102,18 @@
                 self.founder.record_vote(call.name, epoch, now)
             case Hello(), NotAMember(peer=peer, is_founder=is_founder, uptime_seconds=uptime):
                 self.founder.add_candidate(peer, uptime, now, is_founder=is_founder)
-                self.founder.found_if_possible(now)
+                self.founder.found_epoch_if_possible(now)
             case Hello(), JoinRejected(reason="pending"):
-                self.joining.wait_for_view(now)
+                self.joining.handle_join_pending(now)
             case Hello(), JoinRejected(reason=reason):
                 self.context.outbox.emit(events.FLEET_JOIN_REJECTED, why=reason)
         return True
 
-    def _handle_ping_answer(
-        self, call: PendingCall, asked_instance: int, answering_instance: int, now: float
+    def _handle_tcp_ack(
+        self, call: PendingCall, expected_instance: int, answering_instance: int, now: float
     ) -> None:
-        """Take a TCP ping's answer: another instance's proves that the one that was asked has ended."""
-        if answering_instance != asked_instance:
-            self.departures.confirm_failed(call.name, asked_instance, now)
+        """Handle the ack of a TCP ping; an ack of another instance proves that the expected one has ended."""
+        if answering_instance != expected_instance:
+            self.departures.confirm_failed(call.name, expected_instance, now)
         elif call.name in self.context.detector.members:
             self.context.detector.handle_tcp_ack(call.probe_sequence)
