--- a/violetdoor/fleet/durable_output.py
+++ b/violetdoor/fleet/durable_output.py
@@ -1,7 +1,7 @@
-"""Holds actions back until the durable state that they rest on is in its file.
+"""Delays actions until the durable state that they depend on is written to the state file.
 
-A promise is written before it is given, so that no restart forgets it: packets and calls of a step wait for
-the write of that step's durable state, and those of later steps wait behind them.
+A promise is written before it is sent, so that a restart cannot lose it. Packets and calls of a step wait for
+the write of that step's durable state, and those of later steps queue behind them.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class DurableOutput:
-    """Sends actions: at once where nothing is to be written, otherwise behind the write."""
+    """Sends actions: immediately if the durable state is unchanged, otherwise after it is written."""
 
     def __init__(
         self,
@@ -28,9 +28,11 @@
         on_write_failure: Callable[[], None],
         spawn: Callable[[Coroutine[Any, Any, None]], None],
     ) -> None:
-        """Send by `send`, and write in a task of `spawn`; without a state file nothing is ever written.
+        """Initialize without a state file.
 
-        `durable_state` returns the node's state; it is the same object as long as nothing has changed.
+        `durable_state` returns the node's state, and the same object as long as the state is unchanged.
+        `send` sends actions, `spawn` starts the task that writes, and `on_write_failure` is called if a
+        write fails.
         """
         self.durable_state = durable_state
         self.send = send
@@ -42,12 +44,12 @@
         self.is_writing = False
 
     def open(self, state_file: StateFile | None, written_state: DurableState | None) -> None:
-        """Begin with a file that holds `written_state`."""
+        """Use a state file that contains `written_state`; without a state file nothing is written."""
         self.state_file = state_file
         self.written_state = written_state
 
     def submit(self, actions: Actions) -> None:
-        """Send the actions of a step: after the node's durable state is written, if it has changed."""
+        """Send the actions of a step; if the durable state has changed, write it first."""
         if self.state_file is None or not self._must_write():
             self.send(actions)
             return
@@ -60,20 +62,20 @@
         return self.is_writing or self.durable_state() is not self.written_state
 
     def close(self) -> None:
-        """Drop what waits, and let another process have the file."""
+        """Drop deferred actions, and close and unlock the state file."""
         self.deferred.clear()
         if self.state_file is not None:
             self.state_file.close()
 
     async def _write(self, state_file: StateFile) -> None:
-        """Write until the newest state is in the file, then send what has waited."""
+        """Write until the file contains the newest state, then send the deferred actions."""
         try:
             while (state := self.durable_state()) is not None and state is not self.written_state:
                 await asyncio.to_thread(state_file.write, state)
                 self.written_state = state
         except OSError as error:
-            # Guards against promises that nothing backs: this relay takes part in no decision any more.
-            log.error("cannot write durable state, leaving the fleet: %s", error)
+            # Promises that are not on disk could be broken after a restart, so this relay stops voting.
+            log.error("cannot write durable state; leaving the fleet: %s", error)
             self.deferred.clear()
             self.on_write_failure()
             return
--- a/violetdoor/fleet/state_file.py
+++ b/violetdoor/fleet/state_file.py
@@ -1,8 +1,8 @@
-"""The file of a relay's durable state, which one process holds at a time.
+"""The file of a relay's durable state, which only one process can open at a time.
 
-Two slots are written in turn, each with a sequence number and a hash: a write that is cut short leaves the
-other one complete. A slot is written in place, which takes one flush of data and none of the folder: 0.05 ms
-where replacing a file takes 60.
+Two slots are written alternately, each with a sequence number and a hash, so an interrupted write leaves the
+other slot intact. A slot is written in place, which needs one flush of data and none of the directory: 0.05
+ms, while replacing a file takes 60 ms.
 """
 
 from __future__ import annotations
@@ -19,55 +19,55 @@
 from violetdoor.fleet.stored_state import DurableState, durable_state_decoder
 
 SLOT_COUNT = 2
-SLOT_BYTES = 256 * 1024  # a view of 1,024 members with long names has some 100 KB, and a change less
-HEADER = struct.Struct("<4sQI16s")  # magic, sequence number, length of the body, hash
+SLOT_BYTES = 256 * 1024  # a view of 1,024 members with long names takes about 100 KB, a view change less
+HEADER = struct.Struct("<4sQI16s")  # magic, sequence number, length of the body in bytes, hash
 MAGIC = b"vdf1"
 DIGEST_BYTES = 16
-SEQUENCE_BYTES = 8  # under the hash, little-endian
-FILE_MODE = 0o600  # the owner alone
+SEQUENCE_BYTES = 8  # the hash covers the sequence number as a little-endian integer of this size
+FILE_MODE = 0o600  # readable and writable by the owner only
 
 
 class StateFileError(Exception):
-    """The file cannot be used; the text names the file and the reason."""
+    """The state file cannot be used; the message has its path and the reason."""
 
     def __init__(self, path: Path, reason: str) -> None:
-        """Name the file and the reason."""
+        """Build the message from the path and the reason."""
         super().__init__(f"{path}: {reason}")
         self.path = path
         self.reason = reason
 
 
-class StateTooLongError(OSError):
-    """A state that does not fit into a slot."""
+class StateTooLargeError(OSError):
+    """An encoded state does not fit into a slot of the state file."""
 
     def __init__(self, path: Path, length: int) -> None:
-        """Name the file and the length of the encoded state, in bytes."""
-        super().__init__(f"{path}: {length} bytes are too many")
+        """Build the message from the path and the length of the encoded state in bytes."""
+        super().__init__(f"{path}: encoded state of {length} bytes does not fit into a slot")
 
 
 class StateFile:
-    """The file, locked by this process from its opening on."""
+    """The state file, locked by this process while it is open."""
 
     def __init__(self, path: Path) -> None:
-        """Open the file, create it if need be, and lock it. Raises StateFileError."""
+        """Open and lock the file; create it if it does not exist. Raises StateFileError."""
         self.path = path
-        self.sequence = 0
+        self.sequence = 0  # of the newest slot
         try:
-            self.file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
-            fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            if os.fstat(self.file).st_size < SLOT_COUNT * SLOT_BYTES:
-                os.posix_fallocate(self.file, 0, SLOT_COUNT * SLOT_BYTES)
-                os.fsync(self.file)
+            self.descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
+            fcntl.flock(self.descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            if os.fstat(self.descriptor).st_size < SLOT_COUNT * SLOT_BYTES:
+                os.posix_fallocate(self.descriptor, 0, SLOT_COUNT * SLOT_BYTES)
+                os.fsync(self.descriptor)
         except OSError as error:
-            held = "; another process holds it" if isinstance(error, BlockingIOError) else ""
-            raise StateFileError(path, f"{error.strerror}{held}") from error
+            hint = "; another process holds it" if isinstance(error, BlockingIOError) else ""
+            raise StateFileError(path, f"{error.strerror}{hint}") from error
 
     def read(self) -> DurableState | None:
-        """Return the newest state; None where none was ever written. Raises StateFileError."""
+        """Return the newest state, or None if none was ever written. Raises StateFileError."""
         newest_body = b""
         is_empty = True
         for slot in range(SLOT_COUNT):
-            data = os.pread(self.file, SLOT_BYTES, slot * SLOT_BYTES)
+            data = os.pread(self.descriptor, SLOT_BYTES, slot * SLOT_BYTES)
             magic, sequence, length, digest = HEADER.unpack_from(data)
             is_empty = is_empty and not any(data[: HEADER.size])
             body = data[HEADER.size : HEADER.size + length]
@@ -89,19 +89,19 @@
             raise StateFileError(self.path, str(error)) from error
 
     def write(self, state: DurableState) -> None:
-        """Write a state so that it outlives a power cut. Raises OSError."""
+        """Write a state durably, so that it survives a power failure. Raises OSError."""
         body = encode(state)
         sequence = self.sequence + 1
         if HEADER.size + len(body) > SLOT_BYTES:
-            raise StateTooLongError(self.path, len(body))
+            raise StateTooLargeError(self.path, len(body))
         record = HEADER.pack(MAGIC, sequence, len(body), _digest(sequence, body)) + body
-        os.pwrite(self.file, record, sequence % SLOT_COUNT * SLOT_BYTES)
-        os.fdatasync(self.file)
+        os.pwrite(self.descriptor, record, sequence % SLOT_COUNT * SLOT_BYTES)
+        os.fdatasync(self.descriptor)
         self.sequence = sequence
 
     def close(self) -> None:
-        """Close and unlock it."""
-        os.close(self.file)
+        """Close and unlock the file."""
+        os.close(self.descriptor)
 
 
 def _digest(sequence: int, body: bytes) -> bytes:
