--- a/violetdoor/fleet/handover.py
+++ b/violetdoor/fleet/handover.py
@@ -1,4 +1,4 @@
-"""The state of a member, from one process of its relay to the next. Without input or output."""
+"""Handover of a member's state to the next process of its relay, in an upgrade. No I/O."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Handover:
-    """Exports the state of a node's parts, and imports it into the parts of another process."""
+    """Exports the state of a node's components, and imports it into the components of another process."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         joining: Joining,
         packets: Packets,
     ) -> None:
-        """Use these parts of the node."""
+        """Initialize with the components whose state is handed over."""
         self.context = context
         self.departures = departures
         self.prior_leases = prior_leases
@@ -43,7 +43,7 @@
         self.packets = packets
 
     def export_state(self) -> HandoverState:
-        """Return the member's state; this process must send nothing more as the member."""
+        """Return the member's state; afterwards this process must not send anything as the member."""
         context = self.context
         context.update_durable_state()
         return HandoverState(
@@ -69,13 +69,16 @@
             ),
             readmissions=tuple(self.joining.readmissions.values()),
             departed_instances=tuple(self.departures.left_instances),
-            reported_views=tuple(ReportedView(*one) for one in self.prior_leases.reported_views.items()),
+            reported_views=tuple(ReportedView(*item) for item in self.prior_leases.reported_views.items()),
             ended_members=tuple(self.departures.ended_members),
             leaving_members=tuple(self.proposer.leaving_members),
         )
 
     def import_state(self, state: HandoverState, now: float) -> None:
-        """Continue as the member that the previous process was, on the same machine and clock."""
+        """Continue as the member that the previous process was.
+
+        Both processes use the same machine's monotonic clock, so times remain valid.
+        """
         context = self.context
         context.process = state.process
         context.started_at = state.started_at
@@ -88,20 +91,21 @@
         context.had_lease = state.has_lease
         context.map.merge(state.entries, context.unix_ms(), context.view_size())
         context.map.clock.observe(state.clock)
-        self._import_parts(state)
+        self._import_components(state)
         context.durable_state = state.durable_state
         if state.durable_state is not None:
             self._import_view(state.durable_state, state.lease, now)
 
-    def _import_parts(self, state: HandoverState) -> None:
+    def _import_components(self, state: HandoverState) -> None:
         self.heartbeat.last_joined_at = state.last_heartbeat_at
         self.packets.sent_count = state.packet_count
         self.packets.windows = {
-            (w.name, w.instance): ReplayWindow(w.max_sequence) for w in state.replay_windows
+            (sender.name, sender.instance): ReplayWindow(sender.max_sequence)
+            for sender in state.replay_windows
         }
-        self.joining.readmissions = {one.name: one for one in state.readmissions}
+        self.joining.readmissions = {readmission.name: readmission for readmission in state.readmissions}
         self.prior_leases.prior_views = list(state.prior_views)
-        self.prior_leases.reported_views = {one.name: one.view for one in state.reported_views}
+        self.prior_leases.reported_views = {report.name: report.view for report in state.reported_views}
         self.departures.left_instances = dict.fromkeys(state.departed_instances)
         self.departures.ended_members = set(state.ended_members)
         self.proposer.leaving_members = set(state.leaving_members)
--- a/violetdoor/fleet/stored_state.py
+++ b/violetdoor/fleet/stored_state.py
@@ -1,6 +1,7 @@
-"""State of a relay that outlives its process: in a file, and handed over to an upgrade's new process.
+"""State of a relay that outlives its process: stored in a file, or handed over to an upgrade's new process.
 
-Msgpack arrays as on the wire (`violetdoor.fleet.messages`): the order of the fields is the format.
+It is encoded as msgpack arrays like the wire messages (`violetdoor.fleet.messages`), so the order of the
+fields is the format.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class DurableState(Struct, frozen=True, array_like=True):
-    """What a relay must remember when it restarts: its view, and what it has promised about the next one."""
+    """State that must survive a restart of a relay: its view, and its votes on the successor of this view."""
 
     view: View
     promised_ballot: int = -1
@@ -22,14 +23,14 @@
 
 
 class JoinedRound(Struct, frozen=True, array_like=True):
-    """When a relay joined a round of heartbeats."""
+    """A heartbeat round, and when the relay joined it in s of the machine's monotonic clock."""
 
     number: int
     joined_at: float
 
 
 class LeaseState(Struct, frozen=True, array_like=True):
-    """Where a relay stands in its view's rounds of heartbeats; times of the machine's monotonic clock."""
+    """State of a `Lease`. Times are in s of the machine's monotonic clock."""
 
     expires_at: float
     not_before: float
@@ -43,14 +44,14 @@
 
 
 class PriorView(Struct, frozen=True, array_like=True):
-    """A view whose leases may still hold, None where it is not known, and when the next was installed."""
+    """An earlier view whose leases may still be valid, None if unknown, and when it was replaced."""
 
     view: View | None
     replaced_at: float
 
 
 class SenderWindow(Struct, frozen=True, array_like=True):
-    """The highest sequence number that was received from one instance of a relay."""
+    """The highest sequence number received from one instance of a relay."""
 
     name: str
     instance: int
@@ -58,7 +59,7 @@
 
 
 class Readmission(Struct, frozen=True, array_like=True):
-    """A process that was removed from the view, and when it joined again; -inf where it did not."""
+    """A process that was removed from the view, and when it was readmitted; -inf if it was not."""
 
     name: str
     process: int
@@ -66,14 +67,14 @@
 
 
 class ReportedView(Struct, frozen=True, array_like=True):
-    """The view that a member last said it stands at."""
+    """The newest view that a member reported to have installed."""
 
     name: str
     view: ViewId
 
 
 class HandoverState(Struct, frozen=True, array_like=True):
-    """All that makes a relay the member that it is, for the process that succeeds it on this machine."""
+    """Complete state of a member, for the process that succeeds it on the same machine."""
 
     process: int
     local_peer: Peer
