--- a/violetdoor/fleet/heartbeat.py
+++ b/violetdoor/fleet/heartbeat.py
@@ -1,4 +1,4 @@
-"""A member's part in the rounds of heartbeats that leases are derived from. Without input or output."""
+"""Participation of a member in the heartbeat rounds that leases are derived from. No I/O."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from violetdoor.fleet.gossip import Gossip
 from violetdoor.fleet.messages import HeartbeatRound
 
-# Between two packets to a random member while a round is not complete.
+# Interval at which the current round is sent to a random member while it is incomplete.
 ROUND_GOSSIP_INTERVAL_SECONDS = 0.1
 ROUND_GOSSIP_JITTER_FACTORS = (0.7, 1.3)  # range of the random factor of each interval
 
 
 class Heartbeat:
-    """Joins rounds, starts them when it is time, and reports when the lease begins to hold."""
+    """Joins and starts heartbeat rounds, and emits an event when this relay acquires a lease."""
 
     def __init__(self, context: NodeContext, gossip: Gossip, now: float) -> None:
-        """Take part with the context's lease."""
+        """Participate with the lease of `context`."""
         self.context = context
         self.gossip = gossip
-        self.last_joined_at = -math.inf  # when it last joined a round that may support somebody's lease
+        self.last_joined_at = -math.inf  # when this relay last joined a round, which may support a lease
         self.next_gossip_at = now
 
     @property
     def next_wake_at(self) -> float:
-        """When `wake` has something to do."""
+        """When `wake` is next due."""
         lease = self.context.lease
         if lease is None:
             return math.inf
@@ -38,7 +38,7 @@
         return wake_at
 
     def wake(self, now: float) -> None:
-        """Take part in the present round, and gossip it while it is not complete."""
+        """Advance the heartbeat rounds, and gossip the current round while it is incomplete."""
         self.beat(now)
         if self._is_round_open and now >= self.next_gossip_at:
             jitter = self.context.random.uniform(*ROUND_GOSSIP_JITTER_FACTORS)
@@ -46,7 +46,7 @@
             self.gossip.send_to_random(1)
 
     def beat(self, now: float) -> None:
-        """Start a round if it is time, and act on what the present one has brought."""
+        """Start the next round if it is due, and gossip or report what has changed."""
         context = self.context
         lease = context.lease
         if lease is None or context.view is None:
@@ -63,13 +63,13 @@
             context.outbox.emit(events.FLEET_LEASE_ACQUIRED, view=context.view_id_text())
 
     def receive(self, received: HeartbeatRound, now: float) -> None:
-        """Merge the round that a member of this view has sent."""
+        """Merge the round that a packet from a member with the same view carried."""
         if self.context.lease is not None:
             self._freeze_after_acceptance()
             self.context.lease.receive(received, now)
 
     def _freeze_after_acceptance(self) -> None:
-        """Join no more rounds of this view once a change of it was accepted."""
+        """Stop joining rounds of this view once this relay has accepted a successor."""
         agreement = self.context.agreement
         lease = self.context.lease
         if agreement is not None and lease is not None:
--- a/violetdoor/fleet/lease.py
+++ b/violetdoor/fleet/lease.py
@@ -1,17 +1,18 @@
-"""Leases from rounds of heartbeats that gossip gathers: no relay collects them for the others. Without I/O.
+"""Leases derived from heartbeat rounds, which are spread by gossip without a central collector. No I/O.
 
-A round is a number, the member that started it, a bitmap of the members that have joined it, and a bitmap of
-those that its starter had seen join the round before. Every packet carries the newest round; bitmaps are
-merged. A member of view V joins only while it has accepted no successor of V.
+A round consists of a number, the member that started it, a bitmap of the members that have joined it, and a
+bitmap of the members that its starter knew to have joined the previous round. Every packet carries the newest
+round; receivers merge the bitmaps of joined members. A member of view V joins rounds only until it accepts a
+successor of V.
 
-A relay that sees a majority of V in round k, and itself among those that the starter of k had seen in round
-k-1, holds a lease for LEASE_DURATION_SECONDS from when it joined k-1.
+A relay holds a lease for LEASE_DURATION_SECONDS from the time it joined round k-1 if it knows that a majority
+of V has joined round k, and is itself in the starter's bitmap of round k-1.
 
-Why that is safe: its joining k-1 came before the start of k, which came before each of the majority joined k.
-A successor of V is decided only once a majority has accepted it, and one of these is also of the first
-majority; that one joined k before it accepted. So the lease began before the successor was decided, and ends
-within LEASE_DURATION_SECONDS of that by the holder's clock. Whoever acts on the successor waits for that
-time, stretched by what clocks may drift, from when it installed it (LEASE_EXPIRY_SECONDS).
+Why this is safe: the relay joined k-1 before k was started, and each member of the majority joined k after
+that. A successor of V is decided only after a majority has accepted it. The two majorities share a member,
+which joined k before it accepted the successor. The lease therefore began before the successor was decided,
+and ends within LEASE_DURATION_SECONDS of the decision by the holder's clock. A relay that installs the
+successor waits for this time, extended by the maximum clock drift (LEASE_EXPIRY_SECONDS), before it acts.
 """
 
 from __future__ import annotations
@@ -23,24 +24,25 @@
 from violetdoor.fleet.messages import HeartbeatRound
 from violetdoor.fleet.stored_state import JoinedRound, LeaseState
 
-LEASE_DURATION_SECONDS = 3.0  # four rounds, so that two lost ones, or a second's pause, cost nobody its lease
-ROUND_INTERVAL_SECONDS = 0.75  # from one round's start to the next
-# Of a view's first rounds: two are needed for a lease, and one under an earlier view runs out.
+LEASE_DURATION_SECONDS = 3.0  # four rounds: a lease survives two lost rounds, or a process pause of 1 s
+ROUND_INTERVAL_SECONDS = 0.75  # from the start of one round to the start of the next
+# Interval of the first rounds of a view. It is short because a lease needs two rounds, and has to be acquired
+# before the lease under the previous view expires.
 FIRST_ROUND_DELAY_SECONDS = 0.1
-# By which the clocks of two machines may differ in rate; sound ones stay under 0.001.
+# Maximum difference between the clock rates of two machines; clocks in order differ by less than 0.001.
 MAX_CLOCK_DRIFT_FRACTION = 0.05
-# After a view was installed, until all leases under earlier ones have expired.
+# From the installation of a view until all leases under earlier views have expired.
 LEASE_EXPIRY_SECONDS = LEASE_DURATION_SECONDS * (1 + MAX_CLOCK_DRIFT_FRACTION)
-# By which a member that is not the first one alive waits longer, at least, until it starts a round itself.
+# Minimum additional delay of a member that is not the first live one before it starts a round itself.
 STARTER_STAGGER_SECONDS = 0.3
 NO_STARTER = -1
 
 
 class Lease:
-    """One relay's part in the heartbeats of one view, and until when it holds a lease there.
+    """One relay's participation in the heartbeat rounds of one view, and its lease under this view.
 
-    Bitmaps are integers whose bit N stands for the member at index N of the view. Times are seconds of this
-    machine's monotonic clock.
+    Bitmaps are integers whose bit N represents the member at index N of the view. Times are in seconds of
+    this machine's monotonic clock.
     """
 
     def __init__(
@@ -51,28 +53,29 @@
         expires_at: float = -math.inf,
         not_before: float = -math.inf,
     ) -> None:
-        """Take part as the member at `index` of a view of `size` members."""
+        """Participate as the member at `index` of a view with `size` members."""
         self.size = size
         self.index = index
         self.random = random
-        self.expires_at = expires_at  # at first of a lease under an earlier view that this relay was in, too
-        self.not_before = not_before  # joining a round before this could help two views at once
-        self.frozen = False  # whether this relay joins no more rounds, as it has accepted a successor
+        self.expires_at = expires_at  # initially that of the lease under the previous view of the epoch
+        # Joining a round before this time could support leases under views of two epochs at once.
+        self.not_before = not_before
+        self.frozen = False  # this relay has accepted a successor of the view, and joins no more rounds
         self.round_number = 0
         self.starter = NO_STARTER
         self.joined = 0
         self.joined_previous = 0
-        self.joined_at: dict[int, float] = {}  # when this relay joined the last two rounds, by number
-        self.round_observed_at = -math.inf  # when this relay first knew of the present round
+        self.joined_at: dict[int, float] = {}  # when this relay joined the last two rounds, by round number
+        self.round_observed_at = -math.inf  # when this relay started the current round or learned of it
         self.round_completed_at = -math.inf
-        self.has_update = False  # whether there is something that others should receive soon
-        self.starter_delay = 0.0
-        # What `current_round` returned last, and for what.
+        self.has_update = False  # whether the round has changed in a way that others should receive soon
+        self.starter_delay = 0.0  # additional delay in s before this relay starts a round
+        # The last result of `current_round`, and the values that it was computed from.
         self._packed_key: tuple[int, int, int, int] | None = None
         self._packed_round: HeartbeatRound | None = None
 
     def export_state(self) -> LeaseState:
-        """Return the state for the process that continues as this member."""
+        """Return the state to hand over to the next process of this relay."""
         return LeaseState(
             expires_at=self.expires_at,
             not_before=self.not_before,
@@ -86,7 +89,7 @@
         )
 
     def import_state(self, state: LeaseState) -> None:
-        """Continue from the state of the process before this one."""
+        """Continue from the state that the previous process handed over."""
         self.expires_at = state.expires_at
         self.not_before = state.not_before
         self.frozen = state.frozen
@@ -99,35 +102,38 @@
 
     @property
     def majority(self) -> int:
-        """How many members complete a round."""
+        """The number of members that complete a round."""
         return self.size // 2 + 1
 
     def is_valid(self, now: float) -> bool:
-        """Return whether the lease holds at this moment."""
+        """Return whether the lease is valid at time `now`."""
         return now < self.expires_at
 
     @property
     def is_round_complete(self) -> bool:
-        """Whether a majority has joined the present round."""
+        """Whether a majority has joined the current round."""
         return self.joined.bit_count() >= self.majority
 
     @property
     def next_wake_at(self) -> float:
-        """When this relay starts a round itself."""
+        """When this relay starts the next round itself."""
         if self.frozen:
             return math.inf
         interval = ROUND_INTERVAL_SECONDS if self.round_number > 1 else FIRST_ROUND_DELAY_SECONDS
         return max(self.not_before, self.round_observed_at + interval + self.starter_delay)
 
     def wake(self, now: float, *, is_first_alive: bool) -> None:
-        """Start the next round if it is time; `is_first_alive`: no living member precedes this one."""
+        """Start the next round if it is due.
+
+        `is_first_alive` tells whether no live member precedes this one in the view.
+        """
         if is_first_alive:
             self.starter_delay = 0.0
         else:
             self.starter_delay = STARTER_STAGGER_SECONDS * (1.0 + self.random.random())
         if self.frozen or now < self.next_wake_at:
             return
-        # A round that does not complete is not waited for: its majority may be dead.
+        # An incomplete round does not delay the next one, as a majority of the members may be dead.
         joined_previous = self.joined if self.round_number else 0
         self._enter_round(self.round_number + 1, self.index, joined_previous, now)
 
@@ -144,13 +150,16 @@
         if self.frozen or now < self.not_before:
             return
         self.joined_at.setdefault(self.round_number, now)
-        first_kept = self.round_number - 1
-        self.joined_at = {number: at for number, at in self.joined_at.items() if number >= first_kept}
+        oldest = self.round_number - 1
+        self.joined_at = {number: at for number, at in self.joined_at.items() if number >= oldest}
         self.joined |= 1 << self.index
         self.renew(now)
 
     def receive(self, received: HeartbeatRound, now: float) -> None:
-        """Merge the round that a packet carries: the newest counts, among equals the first member's."""
+        """Merge a received round: a newer round replaces the current one.
+
+        Among rounds of the same number the one whose starter has the lowest index wins.
+        """
         if received.starter >= self.size or received.number < self.round_number:
             return
         if received.number > self.round_number or received.starter < self.starter:
@@ -166,7 +175,7 @@
             self.renew(now)
 
     def renew(self, now: float) -> None:
-        """Extend the lease if a majority has joined the present round."""
+        """Extend the lease if a majority has joined the current round."""
         if not self.is_round_complete:
             return
         if self.round_completed_at < self.round_observed_at:
@@ -177,11 +186,11 @@
             self.expires_at = max(self.expires_at, starts_at + LEASE_DURATION_SECONDS)
 
     def current_round(self) -> HeartbeatRound | None:
-        """Return the present round as packets carry it, None before the first one."""
+        """Return the current round in its wire form; None before the first round."""
         if not self.round_number:
             return None
         key = (self.round_number, self.starter, self.joined, self.joined_previous)
-        if self._packed_key != key:  # most packets carry what the one before them carried
+        if self._packed_key != key:  # the cache helps as the round is the same in most consecutive packets
             self._packed_key = key
             joined = pack_bitmap(self.joined, self.size)
             joined_previous = pack_bitmap(self.joined_previous, self.size)
--- a/violetdoor/fleet/prior_leases.py
+++ b/violetdoor/fleet/prior_leases.py
@@ -1,7 +1,7 @@
-"""Leases under earlier views that may still hold. Without input or output.
+"""Tracks earlier views whose leases may still be valid. No I/O.
 
-A key that moves to this relay with a new view is its own only once its former owner can act no more: after
-LEASE_EXPIRY_SECONDS, or as soon as all members of the earlier view stand at a later one or are gone.
+A relay to which a new view assigns a key may own it only when the former owner can no longer act: after
+LEASE_EXPIRY_SECONDS, or as soon as all members of the earlier view have installed a later one or have ended.
 """
 
 from __future__ import annotations
@@ -14,36 +14,39 @@
 
 
 class PriorLeases:
-    """The views before the present one whose leases may still hold, and what proves that they don't."""
+    """The earlier views whose leases may still be valid, and the views that members have installed."""
 
     def __init__(self, context: NodeContext, departures: Departures) -> None:
-        """Start without earlier views."""
+        """Initialize without earlier views."""
         self.context = context
         self.departures = departures
         self.prior_views: list[PriorView] = []
-        self.reported_views: dict[str, ViewId] = {}  # that each member last said it stands at
+        self.reported_views: dict[str, ViewId] = {}  # the newest view that each member reported, by its name
 
     def record_reported_view(self, name: str, view: ViewId) -> None:
-        """Note which view of this epoch a member stands at."""
+        """Record which view of this epoch a member has installed."""
         self.reported_views[name] = max(view, self.reported_views.get(name, view))
 
     def add(self, old: View, now: float, *, is_direct_predecessor: bool) -> None:
-        """Add the view that is replaced by a later one of its epoch; views between them are not known."""
+        """Add a view that a later one of its epoch replaces.
+
+        If it is not the direct predecessor, the views between the two are unknown.
+        """
         self.prior_views.append(PriorView(old, now))
         if not is_direct_predecessor:
             self.prior_views.append(PriorView(None, now))
 
     def reset(self, now: float, *, is_first_view: bool) -> None:
-        """Start in an epoch at its first view, or at a later one whose predecessors are not known."""
+        """Start in an epoch at its first view, or at a later one whose predecessors are unknown."""
         self.prior_views = [] if is_first_view else [PriorView(None, now)]
 
     def all_expired(self, now: float) -> bool:
-        """Return whether no lease under an earlier view can still hold."""
+        """Return whether all leases under earlier views have expired."""
         self._drop_expired(now)
         return not self.prior_views
 
     def owns(self, key: str, now: float) -> bool:
-        """Return whether a key is this relay's alone at this moment."""
+        """Return whether this relay is the only owner of a key."""
         context = self.context
         name = context.config.name
         if context.view is None or not context.may_act(now) or context.view.owner(key) != name:
@@ -52,7 +55,7 @@
         return all(prior.view is not None and prior.view.owner(key) == name for prior in self.prior_views)
 
     def is_certainly_dead(self, name: str, instance: int, now: float) -> bool:
-        """Return whether an instance can act no more: it is gone, or removed and its lease has expired."""
+        """Return whether an instance has ended, or was removed from the view and its lease has expired."""
         if self.departures.is_departed(instance):
             return True
         if self.context.view is None or self.context.is_member(name, instance):
@@ -60,13 +63,13 @@
         return self.all_expired(now)
 
     def on_view_installed(self, _old: View | None, view: View, _now: float) -> None:
-        """Drop the reports of relays that are no members any more."""
+        """Drop the reports of relays that are no longer members."""
         self.reported_views = {
             name: reported for name, reported in self.reported_views.items() if name in view.index_by_name
         }
 
     def on_view_left(self, _now: float) -> None:
-        """Drop what belonged to the view: this relay stands in none any more."""
+        """Drop all state that belongs to the view."""
         self.prior_views = []
         self.reported_views = {}
 
@@ -78,7 +81,7 @@
         ]
 
     def _is_superseded(self, prior: View | None) -> bool:
-        """Return whether each member of an earlier view stands at a later one now, or is gone."""
+        """Return whether each member of an earlier view has installed a later one, or has ended."""
         if prior is None or self.context.view is None:
             return False
         for peer in prior.members:
