--- a/violetdoor/fleet/membership.py
+++ b/violetdoor/fleet/membership.py
@@ -1,4 +1,4 @@
-"""Moving from view to view, and out of the membership. Without input or output."""
+"""Installs views, and leaves or restores the membership. No I/O."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 
 class ViewListener(Protocol):
-    """A part whose state belongs to a view. A part that ignores a parameter names it with an underscore."""
+    """A component with state that belongs to a view. Unused parameters have a leading underscore."""
 
     def on_view_installed(self, old: View | None, view: View, now: float, /) -> None:
-        """Move from `old`, if this relay stood at one, to `view`."""
+        """Update the state after this relay has installed `view` in place of `old`; None for no old view."""
 
     def on_view_left(self, now: float, /) -> None:
-        """Drop what belonged to the view: this relay stands in none any more."""
+        """Drop the state that belonged to the view, as this relay is not in any view any more."""
 
 
 class Membership:
-    """The view that this relay stands at.
+    """Maintains the current view of this relay.
 
-    Parts that depend on it are its `listeners`, which are called in order; `on_recover` is called when a
-    restarted relay recovers the view that it remembers.
+    The components that depend on the view are its `listeners`, which are called in order. `on_recover` is
+    called when a restarted relay restores the view of its durable state.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         gossip: Gossip,
         heartbeat: Heartbeat,
     ) -> None:
-        """Start outside any view."""
+        """Initialize outside any view."""
         self.context = context
         self.departures = departures
         self.prior_leases = prior_leases
@@ -54,13 +54,16 @@
         self.on_recover: Callable[[], None] = lambda: None
 
     def recover(self, state: DurableState, now: float) -> None:
-        """Continue as the acceptor that this relay was, and rejoin: its instance in that view has ended."""
+        """Continue as an acceptor in the view of the durable state, and request to rejoin.
+
+        This relay is no member there any more, as its instance in that view has ended.
+        """
         context = self.context
         view = state.view
         context.state = MemberState.RECOVERING
         context.view = view
         context.lease = None
-        self.prior_leases.reset(now, is_first_view=False)  # it has forgotten which earlier leases may hold
+        self.prior_leases.reset(now, is_first_view=False)  # earlier views are unknown after a restart
         context.last_epoch = view.epoch
         context.last_seq = view.seq
         self.resume(state, now)
@@ -69,7 +72,7 @@
         context.outbox.emit(events.FLEET_VIEW_RESTORED, view=str(view.id))
 
     def resume(self, state: DurableState, now: float) -> None:
-        """Monitor the members of a remembered view, and keep the promises that were made there."""
+        """Restore the agreement on the successor of a stored view, and monitor the view's members."""
         context = self.context
         view = state.view
         context.agreement = Agreement.restore(state, context.config.name, context.random)
@@ -77,10 +80,10 @@
         context.member_addresses = _addresses(view.members)
 
     def install(self, view: View, now: float, previous: View | None) -> None:
-        """Move to a view; `previous` is the one that it directly follows, None where that is not known."""
+        """Install a view; `previous` is its direct predecessor, or None if that is not known."""
         context = self.context
         if not view.contains(context.local_peer):
-            self._move_without_membership(view, now)
+            self._handle_view_without_local(view, now)
             return
         old = context.view
         is_same_epoch = old is not None and old.epoch == view.epoch
@@ -88,7 +91,7 @@
             is_direct = previous is not None and previous.id == old.id
             self.prior_leases.add(old, now, is_direct_predecessor=is_direct)
         else:
-            # An epoch that begins has no view before it; whoever joins a running one knows none.
+            # The first view of an epoch has no predecessor; a relay that joins later does not know them.
             self.prior_leases.reset(now, is_first_view=view.seq <= 1)
         self._become_member(view, now, is_same_epoch=is_same_epoch)
         for listener in self.listeners:
@@ -101,8 +104,8 @@
         self.heartbeat.beat(now)
         self.gossip.spread(now)
 
-    def _move_without_membership(self, view: View, now: float) -> None:
-        """Move to a view that does not contain this instance: as an acceptor where it may vote, else out."""
+    def _handle_view_without_local(self, view: View, now: float) -> None:
+        """Handle a view without this instance: continue as an acceptor if it may vote, else leave."""
         if self.may_vote_after(view):
             self.recover(DurableState(view), now)
         else:
@@ -118,7 +121,7 @@
             expires_at = context.lease.expires_at
         not_before = -math.inf
         if view.epoch != context.last_epoch:
-            # A heartbeat of an earlier epoch may still support somebody's lease there.
+            # This relay's last heartbeat in the earlier epoch may still support another member's lease there.
             not_before = self.heartbeat.last_joined_at + LEASE_EXPIRY_SECONDS
         context.last_epoch = view.epoch
         context.last_seq = view.seq
@@ -139,21 +142,21 @@
         )
 
     def _check_removed(self, old: View, view: View) -> None:
-        """Ask removed members whether their process is gone, too: then nobody waits for their lease."""
+        """Ping removed members over TCP: proof that a process has ended saves waiting for its lease."""
         for peer in old.members:
             if not view.contains(peer) and not self.departures.is_departed(peer.instance):
                 self.context.outbox.start_call(peer.address, TcpPing(peer.instance), peer.name)
 
     def ping_new_members(self, peers: Iterable[Peer]) -> None:
-        """Ping members that are new in the view, which then request it at once."""
+        """Ping members that are new in the view, so that they request the view at once."""
         for peer in peers:
             if peer.name != self.context.config.name:
                 self.context.outbox.queue(peer.name, Ping(0, peer.instance))
 
     def leave(self, view: View | None, now: float) -> None:
-        """Stand in no view: this instance has ended and holds no lease.
+        """Leave the view: this instance ends and gives up its lease.
 
-        `view` is the one that does not contain it any more, None where it is not known.
+        `view` is the view that does not contain this instance, or None if it is not known.
         """
         context = self.context
         if context.state is MemberState.MEMBER:
@@ -177,21 +180,22 @@
             context.report_lease_expired()
 
     def may_vote_after(self, view: View) -> bool:
-        """Return whether this relay may vote on what follows a view that contains an earlier instance of it.
+        """Return whether this relay may vote on the successor of a view with an earlier instance of it.
 
-        In views before those that it has seen it may have made promises that it has forgotten since.
+        It must not vote in a view that is not newer than the last one that it knows, because it may have made
+        promises there that it has lost.
         """
         return self._is_newer(view) and self.context.config.name in view.index_by_name
 
     def _is_newer(self, view: View) -> bool:
-        """Return whether a view follows, in its epoch, the last one that this relay knows of."""
+        """Return whether a view is newer than the last one of the same epoch that this relay knows."""
         return view.epoch == self.context.last_epoch and view.seq > self.context.last_seq
 
     def should_yield_to(self, epoch: int, view_size: int, now: float, *, has_lease: bool) -> bool:
-        """Return whether to give up the own epoch for another one that was heard of.
+        """Return whether to leave the local epoch in favor of another relay's epoch.
 
-        `view_size` and `has_lease` are those of the relay that reported it. Two epochs hold leases at once
-        only where the assumptions of founding are broken; the smaller one yields.
+        `view_size` and `has_lease` are as the other relay reported them. Two epochs have leases at the same
+        time only if the assumptions of founding are violated; then the epoch with the smaller view yields.
         """
         view = self.context.view
         if view is None or epoch == view.epoch or not has_lease:
--- a/violetdoor/fleet/node.py
+++ b/violetdoor/fleet/node.py
@@ -1,9 +1,10 @@
-"""One relay as a node of the fleet, without input or output: packets and times in, packets and deadlines out.
+"""One relay as a node of the fleet. No I/O: the caller passes packets and times in and carries out actions.
 
-`Node` joins the parts: detection, agreement, leases and the shared map below; membership, proposing,
-founding, joining and packets above. The same code runs in processes, in virtual time, and under a search
-over interleavings. Times are seconds of a monotonic clock that runs on while the machine sleeps, but for
-`unix_ms`, which only the shared map's timestamps and the numbers of new epochs are made of.
+`Node` combines the components: failure detection, agreement, leases and the shared map at the lower level;
+membership, proposing, founding, joining and packets above them. The same code runs in processes, in virtual
+time, and in a search over interleavings. Times are in seconds of a monotonic clock that includes time in
+which the machine sleeps. The exception is `unix_ms`, which is used only for timestamps of the shared map and
+for the numbers of new epochs.
 """
 
 from __future__ import annotations
@@ -42,15 +43,15 @@
 from violetdoor.fleet.stored_state import DurableState, HandoverState
 from violetdoor.fleet.view import Address, Peer, View
 
-PAUSE_THRESHOLD_SECONDS = 0.5  # a node that is woken so late was stopped with its process meanwhile
-MIN_WAKE_DELAY_SECONDS = 0.001  # at the least until the next wake-up: a node never wakes in a busy loop
+PAUSE_THRESHOLD_SECONDS = 0.5  # a step that is this much overdue means that the process was paused
+MIN_WAKE_DELAY_SECONDS = 0.001  # minimum delay until the next wake-up, which prevents a busy loop
 
 
 class Node:
-    """One relay. After each call carry out what `take_actions` returns, and call `wake` at `next_wake_at`.
+    """One relay's state machine.
 
-    `durable_state` is what the last process wrote, if anything; the one of this node is to be written before
-    anything of the same step is sent.
+    After each call the caller carries out what `take_actions` returns; it calls `wake` at `next_wake_at`. It
+    writes `durable_state` to disk before it sends any output of the same step.
     """
 
     def __init__(
@@ -61,7 +62,10 @@
         unix_ms: Callable[[], float],
         durable_state: DurableState | None = None,
     ) -> None:
-        """Build the parts, and restore the view of `durable_state`, if it has one of this relay."""
+        """Create the components, and restore the view of `durable_state` if this relay is in it.
+
+        `durable_state` is the state that the previous process wrote, or None.
+        """
         self.context = context = NodeContext(config, random, now, unix_ms)
         first_seek_at = now + random.random() * SEEK_INTERVAL_SECONDS / 2
         self.departures = Departures(context)
@@ -113,71 +117,71 @@
             self.packets,
         )
 
-    # What the program uses.
+    # Interface of the program.
 
     @property
     def view(self) -> View | None:
-        """The view that this relay is a member of, or was before it restarted."""
+        """The view that this relay is a member of, or was a member of before it restarted."""
         return self.context.view
 
     @property
     def state(self) -> MemberState:
-        """Whether this relay is a member."""
+        """The membership state of this relay."""
         return self.context.state
 
     @property
     def local_peer(self) -> Peer:
-        """The relay itself as a member: its address and its present instance."""
+        """The local relay as a peer, with its address and current instance."""
         return self.context.local_peer
 
     @property
     def lease(self) -> Lease | None:
-        """The lease in the present view."""
+        """The lease under the current view."""
         return self.context.lease
 
     @property
     def map(self) -> SharedMap:
-        """The map that all relays share."""
+        """The local copy of the map that all relays share."""
         return self.context.map
 
     @property
     def detector(self) -> FailureDetector:
-        """What is known of who is alive."""
+        """The failure detector."""
         return self.context.detector
 
     @property
     def durable_state(self) -> DurableState | None:
-        """What a restart must not forget; to be written before anything of the same step is sent."""
+        """State that must survive a restart; to be written before any output of the same step is sent."""
         return self.context.durable_state
 
     def may_act(self, now: float) -> bool:
-        """Return whether this relay holds a lease in its view at this moment."""
+        """Return whether this relay holds a valid lease in its view."""
         return self.context.may_act(now)
 
     def owns(self, key: str, now: float) -> bool:
-        """Return whether this relay is the only owner of a key at this moment.
+        """Return whether this relay is the only owner of a key.
 
-        Not before the leases of all that may have owned it under earlier views have expired.
+        That is the case only after the leases of all its owners under earlier views have expired.
         """
         return self.prior_leases.owns(key, now)
 
     def prior_leases_expired(self, now: float) -> bool:
-        """Return whether no lease under an earlier view can still hold."""
+        """Return whether all leases under earlier views have expired."""
         return self.prior_leases.all_expired(now)
 
     def is_certainly_dead(self, name: str, instance: int, now: float) -> bool:
-        """Return whether an instance can act no more.
+        """Return whether an instance can no longer act.
 
-        It has ended, or it is out of the view and its lease has expired.
+        That is the case if it has provably ended, or was removed from the view and its lease has expired.
         """
         return self.prior_leases.is_certainly_dead(name, instance, now)
 
     def active_relays(self) -> int | None:
-        """Return how many relays share the servers, as far as is known; None where this relay is no member.
+        """Return the number of relays that share the servers; None if this relay is not a member.
 
-        Without a lease it is unknown who has failed and who is only cut off. Those that are reached count
-        then, and at least half of the view: so the two sides of a partition use twice the capacity at the
-        most.
+        Without a lease this relay cannot tell failed relays from relays behind a partition. It then counts
+        the reachable ones, but at least half of the view, so that the two sides of a partition together use
+        at most twice the capacity.
         """
         view = self.context.view
         if view is None or self.context.state is not MemberState.MEMBER:
@@ -186,11 +190,11 @@
         return size if self.context.had_lease else max(self.context.detector.alive_count, (size + 1) // 2)
 
     def status(self, counts: Mapping[str, int], now: float) -> FleetStatus:
-        """Return what operators see; `counts` are the driver's counters."""
+        """Return the status shown to operators; `counts` are the driver's counters."""
         return self._status.read(counts, now)
 
     def set_entry(self, key: str, value: float | None, now: float) -> bool:
-        """Set a value of the shared map, None to remove it; return False where the map is full."""
+        """Set a value of the shared map, or remove it with None; return False if the map is full."""
         context = self.context
         accepted = context.map.put(key, value, context.unix_ms(), context.view_size())
         if accepted:
@@ -210,51 +214,51 @@
         context.outbox.emit(events.FLEET_LEFT)
 
     def force_epoch(self, now: float) -> None:
-        """Begin an epoch with all members that are reached, though they are no majority of the view.
+        """Found an epoch with all reachable members, although they are not a majority of the view.
 
-        Raises ForceRefusedError where a majority is reached, or there is no view.
+        Raises ForceRefusedError if a majority is reachable, or this relay is not in any view.
         """
         self.founder.force_epoch(now)
         self._end_step(now)
 
     def export_state(self) -> HandoverState:
-        """Return the member's state; this process must send nothing more as the member."""
+        """Return the member's state; afterwards this process must not send anything as the member."""
         return self.handover.export_state()
 
     def import_state(self, state: HandoverState, now: float) -> None:
-        """Continue as the member that the previous process was, on the same machine and clock."""
+        """Continue as the member that the previous process on the same machine was."""
         self.handover.import_state(state, now)
 
-    # What the driver does.
+    # Interface of the driver.
 
     @property
     def next_wake_at(self) -> float:
-        """When to call `wake` next."""
+        """When the driver is to call `wake` next."""
         return self.context.next_wake_at
 
     def take_actions(self) -> Actions:
-        """Return what is to be done now."""
+        """Return and clear the actions that the driver is to carry out."""
         return self.context.outbox.take_actions()
 
     def wake(self, now: float) -> None:
-        """Do what is due."""
+        """Run all components that are due."""
         context = self.context
         if context.state is MemberState.LEFT:
             context.next_wake_at = math.inf
             return
         self._detect_pause(now)
-        was_live = context.had_lease
+        had_lease = context.had_lease
         if context.state in (MemberState.MEMBER, MemberState.RECOVERING):
             self._wake_in_view(now)
         if not context.may_act(now):
-            if was_live:
+            if had_lease:
                 context.report_lease_expired()
             self.joining.wake(now)
         self.founder.wake(now)
         self._end_step(now)
 
     def receive(self, packet: Packet, source: Address, now: float) -> None:
-        """Handle a packet whose tag was valid."""
+        """Handle a packet whose authentication tag was valid."""
         if self.context.state is MemberState.LEFT:
             return
         self._detect_pause(now)
@@ -262,17 +266,20 @@
             self._end_step(now)
 
     def handle_request(self, request: Request, now: float) -> Response | None:
-        """Return the response to a request that came over TCP; None where the caller gets none."""
+        """Return the response to a request received over TCP; None if there is none."""
         if self.context.state is MemberState.LEFT:
             return None
-        answer = self.requests.handle_request(request, now)
+        response = self.requests.handle_request(request, now)
         self._end_step(now)
-        return answer
+        return response
 
     def handle_response(
         self, call_number: int, response: Response | None, now: float, *, refused: bool = False
     ) -> None:
-        """Take the response to a call, or None if there was none; `refused`: nobody listens there."""
+        """Handle the response to a call; None if the call failed.
+
+        `refused` tells whether the connection was refused because no process listens at the address.
+        """
         if self.context.state is MemberState.LEFT:
             return
         if self.requests.handle_response(call_number, response, now, refused=refused):
@@ -281,7 +288,7 @@
     # One step.
 
     def _detect_pause(self, now: float) -> None:
-        """Guard against a relay that was stopped and takes its own pause for the failure of all others."""
+        """Detect a pause of this process, which must not look like a failure of all other relays."""
         context = self.context
         if now > context.next_wake_at + PAUSE_THRESHOLD_SECONDS:
             context.outbox.emit(events.FLEET_PAUSE_DETECTED, seconds=round(now - context.next_wake_at, 3))
@@ -298,7 +305,7 @@
             self.sync.wake(now)
 
     def _end_step(self, now: float) -> None:
-        """Send what the parts have queued, and plan the next wake-up."""
+        """Create packets from the queued messages, and schedule the next wake-up."""
         self._queue_detector_output(now)
         self.context.update_durable_state()
         self.packets.send_queued(now)
