--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""The fleet's view in virtual time: every kind of fault, with the same code that runs in processes."""
+"""The fleet's view in virtual time under all kinds of faults, with the same code that runs in processes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from violetdoor.fleet.shared_map import MAX_ENTRIES
 from violetdoor.fleet.view import View
 
-# How long the fleet may take to settle on a view after each.
+# Maximum time in which the fleet has to settle on a view after each kind of event.
 CRASH_SECONDS = 3.0
 HEAL_SECONDS = 5.0
 JOIN_SECONDS = 5.0
@@ -28,9 +28,9 @@
 SEED_COUNT = 5
 MAX_VIEWS_AFTER_MASS_CRASH = 8
 MAX_VIEWS_BY_A_BRIDGE = 5
-MAX_JOINS_WHILE_FLAPPING = 2  # the first join, and one return
-MAX_BYTES_PER_SECOND = 4096  # that one relay sends
-MIN_LONG_PACKET_BYTES = 2000  # what shows that packets of long names were as long as meant
+MAX_JOINS_WHILE_FLAPPING = 2  # the first join, and one readmission
+MAX_BYTES_PER_SECOND = 4096  # sent by one relay
+MIN_LONG_PACKET_BYTES = 2000  # the longest packet of the test with long names must exceed this
 
 
 def names(count: int, first: int = 0) -> list[str]:
@@ -38,7 +38,7 @@
 
 
 def settled_fleet(size: int, seed: int = 1, **world_options: Any) -> World:
-    """A fleet that has settled: the first three relays found it, the others join."""
+    """Return a fleet that has settled: the first three relays found it, the others join."""
     world = World(seed, **world_options)
     members = names(size)
     for name in members:
@@ -48,14 +48,14 @@
 
 
 def node(world: World, name: str) -> Node:
-    """The node of a relay that runs."""
+    """Return the node of a running relay."""
     running = world.hosts[name].node
     assert running is not None
     return running
 
 
 def view(world: World, name: str) -> View:
-    """The view that a relay stands at."""
+    """Return the current view of a relay."""
     current = node(world, name).view
     assert current is not None
     return current
@@ -70,7 +70,7 @@
 
 
 def put(world: World, name: str, key: str, value: float | None) -> None:
-    """Set a shared value at a relay, and carry out what the relay does then."""
+    """Set a value of the shared map at a relay, and carry out the relay's actions."""
     node(world, name).set_entry(key, value, clock(world, name))
     world.carry_out_actions(world.hosts[name])
 
@@ -112,7 +112,7 @@
     assert not may_act(world, "r003")
     assert len(world.views(["r003", "r004"])) == 1
     assert "r003" in relays_with_event(world, "fleet.lease_expired")
-    # Those that come back remember their promises, and the epoch continues.
+    # The restarted relays restore their promises, so the epoch continues.
     epoch = view(world, "r003").epoch
     for name in names(3):
         world.start(name, names(3), names(5))
@@ -132,7 +132,7 @@
     world.carry_out_actions(world.hosts["r003"])
     assert settles(world, ["r003", "r004"], HEAL_SECONDS)
     assert view(world, "r003").epoch > epoch
-    # Members of the old epoch give it up for the one that is alive.
+    # Members of the old epoch leave it for the new one, which has leases.
     for name in names(3):
         world.start(name, names(3), names(5))
     assert settles(world, names(5), 2 * HEAL_SECONDS)
@@ -147,7 +147,7 @@
     for name in names(5):
         world.start(name, names(3), names(5))
     assert settles(world, names(5), 2 * HEAL_SECONDS)
-    assert (view(world, "r000").epoch == epoch) is durable  # who forgot all founds a new one
+    assert (view(world, "r000").epoch == epoch) is durable  # without durable state a new epoch is founded
 
 
 def test_relay_paused_for_ten_seconds_knows_before_its_next_act() -> None:
@@ -155,7 +155,7 @@
     world.stop("r000")
     assert settles(world, names(2, 1), CRASH_SECONDS)
     world.run(10.0)
-    assert not may_act(world, "r000")  # it has not run since: the clock alone tells
+    assert not may_act(world, "r000")  # still paused: the lease has expired by the clock alone
     world.go_on("r000")
     assert settles(world, names(3), HEAL_SECONDS)
     assert not [relay for relay in relays_with_event(world, "fleet.removed") if relay != "r000"]
@@ -183,7 +183,7 @@
 
 def test_flapping_relay_is_readmitted_at_most_once_a_minute() -> None:
     world = settled_fleet(4)
-    for _ in range(8):  # reached for a while, not reached for a while
+    for _ in range(8):  # the links from r003 are cut for 4 s, then work for 4 s
         world.set_links(["r003"], ["r000", "r001", "r002"], both=False, cut=True)
         world.run(4.0)
         world.heal()
@@ -209,7 +209,7 @@
     recent_views = [
         values for at, _, event, values in world.events if event == "fleet.view" and at > world.now - 15.0
     ]
-    assert not recent_views  # nothing changes any more
+    assert not recent_views  # the view has become stable
     assert len(world.views(names(4))) == 1
 
 
@@ -244,7 +244,7 @@
     world.kill("r001")
     world.run(CRASH_SECONDS)
     for name in names(20, 5):
-        world.start(name, names(3), [*names(2), "r004"])  # of three seeds one is cut off, one is dead
+        world.start(name, names(3), [*names(2), "r004"])  # r000 is partitioned, r001 dead, r004 reachable
     assert settles(world, names(23, 2), JOIN_SECONDS + CRASH_SECONDS)
     world.heal()
     assert settles(world, ["r000", *names(23, 2)], HEAL_SECONDS)
@@ -253,7 +253,7 @@
 def test_living_member_keeps_its_name_against_a_second_relay() -> None:
     world = settled_fleet(3)
     peer_before = node(world, "r002").local_peer
-    # The same name at another address, reached as if it were a host of its own.
+    # The second relay has the same name and another address, so it is a separate host of the world.
     world.host("twin")
     world.start("twin", (), names(3))
     twin = node(world, "twin")
@@ -273,7 +273,7 @@
     put(world, "r000", "ban:s1", 1.0)
     world.run(1.0)
     assert all(node(world, name).map.get("ban:s1") == 1.0 for name in names(3))
-    # A later update wins, though its relay's clock is an hour behind the other one's.
+    # The later update wins although its relay's clock is an hour behind the other relay's clock.
     put(world, "r001", "ban:s1", None)
     world.run(1.0)
     assert all(node(world, name).map.get("ban:s1") is None for name in names(3))
@@ -295,15 +295,15 @@
 
 def test_leaving_relay_is_removed_at_once_and_returns_under_its_name() -> None:
     world = settled_fleet(4)
-    first = node(world, "r003").local_peer
+    before = node(world, "r003").local_peer
     node(world, "r003").leave(clock(world, "r003"))
     world.carry_out_actions(world.hosts["r003"])
     assert settles(world, names(3), 1.0)
     world.start("r003", names(3), names(3))
     assert settles(world, names(4), HEAL_SECONDS)
-    second = node(world, "r003").local_peer
-    assert second.instance != first.instance
-    assert second.joined_seq > first.joined_seq
+    after = node(world, "r003").local_peer
+    assert after.instance != before.instance
+    assert after.joined_seq > before.joined_seq
 
 
 def test_keys_of_a_removed_relay_have_no_owner_until_its_lease_is_over() -> None:
@@ -348,7 +348,8 @@
         assert relay.set_entry(f"ban:{number}", 1.0, now)
     assert not relay.set_entry("ban:more", 1.0, now)
     relay.set_entry("ban:0", None, now)
-    assert not relay.set_entry("ban:more", 1.0, now)  # somebody may not know of the removal yet
+    # The new tombstone is retained for relays that may still have the value.
+    assert not relay.set_entry("ban:more", 1.0, now)
     world.hosts["r000"].stepped = 3700.0
     assert relay.set_entry("ban:more", 1.0, now)
 
@@ -363,7 +364,11 @@
 
 
 def test_no_packet_is_too_long_where_names_are_as_long_as_can_be() -> None:
-    """All restart at once, then most die: changes are as long as can be, and are proposed in parts."""
+    """Packets stay within MAX_DATAGRAM_BYTES with names of maximum length.
+
+    All relays restart at once, and later 50 of 120 crash. This produces the longest view changes, which have
+    to be proposed in parts.
+    """
     world = World(3, encode=True)
     members = [f"{'x' * 60}{number:04d}" for number in range(120)]
     for name in members:
@@ -399,7 +404,7 @@
     assert {node(world, name).active_relays() for name in names(4, 1)} == {4}
     world.kill("r001")
     world.kill("r002")
-    world.run(2 * CRASH_SECONDS)  # two of four: nobody knows whether the others are dead or cut off
+    world.run(2 * CRASH_SECONDS)  # two of four cannot tell whether the others are dead or partitioned
     assert {node(world, name).active_relays() for name in names(2, 3)} == {2}
     world.kill("r004")
     world.run(2 * CRASH_SECONDS)
