--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -1,4 +1,4 @@
-"""The search over interleavings finds each bug that is injected into the fleet's decisions, and none without one."""
+"""The search over interleavings finds each bug injected into the fleet's decisions, and none without one."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 from violetdoor.fleet.view import View
 
 Bug = Callable[[pytest.MonkeyPatch], None]
-SEARCH_RUNS = {explore.Schedule: 300, explore.Ballots: 8000}  # in which each bug must show itself
+SEARCH_RUNS = {explore.Schedule: 300, explore.Ballots: 8000}  # runs within which each bug must be found
 
 
 def half_is_a_majority(patch: pytest.MonkeyPatch) -> None:
-    """Half of the members decide."""
+    """Half of the members count as a majority."""
     patch.setattr(View, "majority", property(lambda view: max(1, len(view.members) // 2)))
 
 
 def proposer_prefers_its_own_change(patch: pytest.MonkeyPatch) -> None:
-    """A proposer brings its own change through, whatever was accepted before."""
+    """A proposer proposes its own change even if another one was accepted before."""
     start_ballot, receive = Agreement.start_ballot, Agreement.receive
 
     def start_ballot_without_accepted_change(self: Agreement, proposal: Proposal, now: float) -> None:
-        kept, self.accepted_change = self.accepted_change, None
+        accepted_change, self.accepted_change = self.accepted_change, None
         start_ballot(self, proposal, now)
-        self.accepted_change = self.accepted_change or kept
+        self.accepted_change = self.accepted_change or accepted_change
 
     def receive_empty_promises(
         self: Agreement, sender: int, message: Message, now: float, alive: set[int]
@@ -49,7 +49,7 @@
 
 
 def acceptor_breaks_promises(patch: pytest.MonkeyPatch) -> None:
-    """An acceptor takes any ballot, also one lower than it has promised."""
+    """An acceptor accepts any ballot, even one lower than it has promised."""
     receive = Agreement.receive
 
     def receive_any_ballot(
@@ -63,7 +63,7 @@
 
 
 def restart_forgets_promises(patch: pytest.MonkeyPatch) -> None:
-    """A restarted relay remembers its view and none of its promises."""
+    """A restarted relay restores its view without its promises."""
     restore = Agreement.restore
 
     def restore_view_alone(state: DurableState, name: str, random: Random) -> Agreement:
@@ -73,13 +73,13 @@
 
 
 def nobody_waits_for_prior_leases(patch: pytest.MonkeyPatch) -> None:
-    """A new view is acted on at once."""
+    """Relays act under a new view before leases under earlier views have expired."""
     for module in (prior_leases, membership, founding):
         patch.setattr(module, "LEASE_EXPIRY_SECONDS", 0.0)
 
 
 def lease_starts_when_round_completes(patch: pytest.MonkeyPatch) -> None:
-    """It counts from when its round is complete, not from the heartbeat that is behind it."""
+    """A lease starts when its round completes, instead of when its holder joined the previous round."""
     renew = Lease.renew
 
     def renew_from_now(self: Lease, now: float) -> None:
@@ -92,17 +92,17 @@
 
 
 def heartbeats_continue_after_acceptance(patch: pytest.MonkeyPatch) -> None:
-    """A member that has accepted the next view still supports leases of this one."""
+    """A member that has accepted the next view still supports leases under the current one."""
     patch.setattr(Agreement, "frozen", property(lambda _agreement: False))
 
 
 def lease_is_not_checked_before_acting(patch: pytest.MonkeyPatch) -> None:
-    """Whether a lease holds is checked when the relay is woken, not when it acts."""
+    """A lease is checked when the relay is woken, instead of when it acts."""
     patch.setattr(NodeContext, "may_act", lambda context, _now: context.had_lease)
 
 
 def any_round_starter_supports_a_lease(patch: pytest.MonkeyPatch) -> None:
-    """A heartbeat supports a lease also where the next round began without knowing of it."""
+    """A heartbeat supports a lease even if the starter of the next round did not know of it."""
     renew = Lease.renew
 
     def renew_in_any_round(self: Lease, now: float) -> None:
@@ -113,7 +113,7 @@
 
 
 def every_suspicion_is_a_proof(patch: pytest.MonkeyPatch) -> None:
-    """A member that somebody finds dead is taken for certainly dead."""
+    """A member that any relay declares dead counts as provably dead."""
     confirm_dead = FailureDetector.confirm_dead
 
     def confirm_dead_as_proven(
@@ -150,7 +150,7 @@
     bug(monkeypatch)
     found = explore.search(kind, range(SEARCH_RUNS[kind]))
     assert found is not None
-    # The same run shows it again, and holds without it.
+    # The same seed reproduces the failure, and passes without the bug.
     assert kind(found.seed).run() == found
     monkeypatch.undo()
     assert kind(found.seed).run() is None
@@ -162,12 +162,16 @@
 
 
 def test_schedules_that_once_broke_a_promise_hold() -> None:
-    """An old answer taken for a proof of death; a restarted relay that acted on what it had forgotten."""
+    """Seeds that once failed.
+
+    Causes: a delayed answer was taken for a proof of death, and a restarted relay acted on state that it had
+    lost.
+    """
     assert explore.search(explore.Schedule, (10011, 20077, 20203, 20725, 20811, 21816)) is None
 
 
 def test_leases_overlap_beyond_the_bound_on_clock_drift() -> None:
-    """The bound is what the promise rests on: where clocks differ by more, two relays own one key."""
+    """The guarantee of one owner depends on the bound: with larger drift two relays own the same key."""
     found = explore.search(explore.Schedule, range(SEARCH_RUNS[explore.Schedule]), assumed=False)
     assert found is not None
     assert found.promise == "owners"
