--- a/tests/recorded/fleet_samples.py
+++ b/tests/recorded/fleet_samples.py
@@ -1,7 +1,8 @@
-"""Sample values of every message that `violetdoor.fleet` encodes: no two numbers or names of one are equal.
+"""Sample values of every message that `violetdoor.fleet` encodes.
 
-The keys are plain words, or the union that a message belongs to and its tag on the wire; no type or field of
-the code is named by them, so that the code may be renamed without touching what was recorded.
+Within one message all numbers and names differ, so that swapped fields are detected. Keys are plain words, or
+a union and the message's tag on the wire. They do not contain names of types or fields, so that these can be
+renamed without a change of the recorded data.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 def peer(offset: int = 0) -> Peer:
-    """A member whose values are its own."""
+    """Return a peer; each offset has different values."""
     return Peer(
         name=f"relay-{offset}",
         instance=0x1122334455660000 + offset,
@@ -51,14 +52,14 @@
     return View(epoch=0x18ABCDEF01239999, seq=42, members=(peer(1), peer(2), peer(3)))
 
 
-def stamp(offset: int = 0) -> m.HybridTimestamp:
+def timestamp(offset: int = 0) -> m.HybridTimestamp:
     return m.HybridTimestamp(
         unix_ms=1_800_000_000_000 + offset, counter=500 + offset, relay=f"writer-{offset}"
     )
 
 
 def entry(offset: int = 0) -> m.MapEntry:
-    return m.MapEntry(key=f"ban:server-{offset}", timestamp=stamp(offset), value=0.25 + offset)
+    return m.MapEntry(key=f"ban:server-{offset}", timestamp=timestamp(offset), value=0.25 + offset)
 
 
 def heartbeat_round() -> m.HeartbeatRound:
@@ -70,7 +71,7 @@
 
 
 def parts() -> dict[str, Any]:
-    """What messages are made of."""
+    """Return the structs that are parts of messages."""
     return {
         "part peer": peer(),
         "part change": change(),
@@ -79,9 +80,9 @@
         "part view": view(),
         "part rumor": rumor(),
         "part rumor, short": m.Rumor(name="relay-8", instance=12, incarnation=13, state=m.RUMOR_SUSPECT),
-        "part stamp": stamp(),
+        "part stamp": timestamp(),
         "part entry": entry(),
-        "part entry, taken back": m.MapEntry(key="drain:server-1", timestamp=stamp(4), value=None),
+        "part entry, taken back": m.MapEntry(key="drain:server-1", timestamp=timestamp(4), value=None),
         "part round": heartbeat_round(),
         "part joined round": JoinedRound(number=617, joined_at=1234.5),
         "part lease": lease_state(),
@@ -96,7 +97,7 @@
 
 
 def datagram_messages() -> dict[str, m.Message]:
-    """What a datagram carries, by tag."""
+    """Return the messages that a datagram carries, by tag."""
     return {
         "datagram 1": m.Ping(seq=701, instance=702),
         "datagram 1, any": m.Ping(seq=701),
@@ -163,7 +164,7 @@
 
 
 def requests() -> dict[str, m.Request]:
-    """What one relay asks another over TCP, by tag."""
+    """Return the requests that a relay sends to another one over TCP, by tag."""
     return {
         "request 1": m.Hello(peer=peer(), is_founder=True, uptime_seconds=12.5),
         "request 2": m.SyncRequest(
@@ -177,8 +178,8 @@
     }
 
 
-def answers() -> dict[str, m.Response]:
-    """The answers to them, by tag."""
+def responses() -> dict[str, m.Response]:
+    """Return the responses to these requests, by tag."""
     return {
         "answer 1": m.StateSnapshot(view=view(), has_lease=True, entries=(entry(),)),
         "answer 1, none": m.StateSnapshot(view=None, has_lease=False, entries=()),
@@ -238,7 +239,7 @@
         incarnation=1311,
         packet_count=1312,
         entries=(entry(60), entry(61)),
-        clock=stamp(62),
+        clock=timestamp(62),
         replay_windows=(SenderWindow(name="window-a", instance=1313, max_sequence=1314),),
         readmissions=(Readmission(name="again-a", process=1315, readmitted_at=3005.5),),
         departed_instances=(1316, 1317),
@@ -249,7 +250,7 @@
 
 
 def states() -> dict[str, Any]:
-    """What is kept on disk and handed to another process."""
+    """Return the states that are stored in a file or handed over to another process."""
     return {
         "durable state": durable_state(),
         "durable state, short": DurableState(view=view()),
