--- a/violetdoor/fleet/proposer.py
+++ b/violetdoor/fleet/proposer.py
@@ -175,7 +175,7 @@
         self.pending_joins = {
             name: pending for name, pending in self.pending_joins.items() if not view.contains(pending.peer)
         }
-        self.change_wanted_since = math.inf
+        self.change_pending_since = math.inf
 
     def on_view_left(self, _now: float) -> None:
         """Drop all state that belongs to the view."""
