--- a/violetdoor/fleet/agreement.py
+++ b/violetdoor/fleet/agreement.py
@@ -90,7 +90,7 @@
         self.accepted_change: ViewChange | None = None
         self.decided_change: ViewChange | None = None
         self.proposal: Proposal | None = None
-        self.ballot_round = 0  # of this relay's next ballot; a round has one ballot per member
+        self.ballot_round = 0  # round of this relay's next ballot; each round has one ballot per member
         self.pre_vote_number = 0  # number of this relay's last pre-vote
         self.outgoing: list[Outgoing] = []
         self.reported_alive: set[int] = set()  # `Proposal.reported_alive` of the last proposal that expired
--- a/violetdoor/fleet/context.py
+++ b/violetdoor/fleet/context.py
@@ -74,7 +74,7 @@
         self.map = SharedMap(config.name)
         self.last_epoch = 0  # the last epoch in which this relay was a member; 0 if there was none
         self.last_seq = 0  # `seq` of the newest view of that epoch that this relay knows
-        self.latest_view: View | None = None  # of `last_epoch`, without this relay: it was removed
+        self.latest_view: View | None = None  # newest view of `last_epoch` without this relay
         self.member_addresses: dict[str, Address] = {}  # addresses of the last known members, by name
         self.lease_holder_reported_at = -math.inf  # when another relay last reported that it holds a lease
         self.outbox = Outbox()
--- a/violetdoor/fleet/founding.py
+++ b/violetdoor/fleet/founding.py
@@ -196,7 +196,10 @@
         return started_at_ms << EPOCH_RANDOM_BITS | context.random.getrandbits(EPOCH_RANDOM_BITS)
 
     def grant_vote(self, request: EpochVoteRequest, now: float) -> bool:
-        """Return whether this relay votes for an epoch; if so, it blocks its lease and its old agreement."""
+        """Vote for an epoch if this relay may, and return whether it did.
+
+        With its vote this relay gives up its lease and stops voting on changes of its old view.
+        """
         context = self.context
         epoch = request.view.epoch
         if (
--- a/violetdoor/fleet/membership.py
+++ b/violetdoor/fleet/membership.py
@@ -91,7 +91,7 @@
             is_direct = previous is not None and previous.id == old.id
             self.prior_leases.add(old, now, is_direct_predecessor=is_direct)
         else:
-            # The first view of an epoch has no predecessor; a relay that joins later does not know them.
+            # The first view of an epoch has no predecessor. A relay that joins later knows no earlier view.
             self.prior_leases.reset(now, is_first_view=view.seq <= 1)
         self._become_member(view, now, is_same_epoch=is_same_epoch)
         for listener in self.listeners:
--- a/violetdoor/fleet/proposer.py
+++ b/violetdoor/fleet/proposer.py
@@ -14,13 +14,13 @@
 from violetdoor.fleet.messages import MAX_CHANGE_BYTES, encode
 from violetdoor.fleet.view import MAX_JOINS_PER_CHANGE, MAX_MEMBERS, Peer, View, ViewChange
 
-BATCH_DELAY_SECONDS = 0.15  # before a change is proposed, so that simultaneous changes share one view
+BATCH_DELAY_SECONDS = 0.15  # delay of a proposal, so that simultaneous changes share one view
 # Additional delay of a member for each preceding member that may propose.
 PROPOSER_STAGGER_SECONDS = 0.4
 JOIN_REQUEST_TTL_SECONDS = 3.0  # after which a join request expires; the joining relay repeats it earlier
 # For this time after its last join request a restarted member counts as one that may propose.
 RESTARTED_TTL_SECONDS = 2.0
-# While a change is too long for a packet, one in this many of its joins, but at least one, is deferred.
+# While a change is too long for a packet, its number of joins divided by this, but at least one, is deferred.
 DEFERRED_JOINS_DIVISOR = 8
 
 
--- a/violetdoor/fleet/state_file.py
+++ b/violetdoor/fleet/state_file.py
@@ -1,8 +1,8 @@
 """The file of a relay's durable state, which only one process can open at a time.
 
 Two slots are written alternately, each with a sequence number and a hash, so an interrupted write leaves the
-other slot intact. A slot is written in place, which needs one flush of data and none of the directory: 0.05
-ms, while replacing a file takes 60 ms.
+other slot intact. A slot is written in place, which needs one flush of data and none of the directory. This
+takes 0.05 ms, while replacing a file takes 60 ms.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
     def __init__(self, path: Path) -> None:
         """Open and lock the file; create it if it does not exist. Raises StateFileError."""
         self.path = path
-        self.sequence = 0  # of the newest slot
+        self.sequence = 0  # sequence number of the newest slot
         try:
             self.descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
             fcntl.flock(self.descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
