--- a/tests/test_recorded_upgrade.py
+++ b/tests/test_recorded_upgrade.py
@@ -386,7 +386,7 @@
                 assert process.line.front.connection_ids.reserve(0x74)
             await other.say(orjson.dumps(message).decode() + "\n")
             await until(lambda: acceptor.sibling_descriptors == 91)
-            assert acceptor.sibling_memory == 92
+            assert acceptor.sibling_memory_bytes == 92
             server = core.balancer.servers["s-2"]
             assert (server.sibling_load, server.sibling_count) == (127.0, 2)
             server = core.balancer.servers["s-1"]
@@ -397,7 +397,7 @@
             await until(lambda: core.settings.max_retry_after_ms == 432.5)
             assert list(core.endpoints.entries) == ["s-file"]  # the list of that file is the one in force now
             await other.say('{"stopped":true}\n')
-            await until(lambda: process.upgrade.handover.is_settled)
+            await until(lambda: process.upgrade.handover.is_takeover_complete)
             other.close()
             await until(lambda: acceptor.sibling_descriptors == 0)
             server = core.balancer.servers["s-file"]
--- a/tests/test_upgrade_messages.py
+++ b/tests/test_upgrade_messages.py
@@ -10,15 +10,15 @@
     ControlAttachment,
     EndpointSnapshot,
     FleetMembership,
-    HeldReport,
-    HeldResources,
     Hello,
     Message,
     RelaySnapshot,
+    ResourceUsage,
     ServerBan,
     ServerBanned,
     ServerUnbanned,
     Stopped,
+    UsageReport,
     decode_message,
     decode_snapshot,
     encode_line,
@@ -33,8 +33,8 @@
     ConfigurationChanged("{}"),
     FleetMembership("c1"),
     ControlAttachment("c2"),
-    HeldReport(HeldResources({"s-1": (1.5, 2)}, 3, 4), ["a1"]),
-    HeldReport(ids=["a1"]),
+    UsageReport(ResourceUsage({"s-1": (1.5, 2)}, 3, 4), ["a1"]),
+    UsageReport(ids=["a1"]),
 ]
 
 
--- a/violetdoor/fronts/line/service.py
+++ b/violetdoor/fronts/line/service.py
@@ -9,7 +9,7 @@
 from violetdoor.configuration.relay_config import Config
 from violetdoor.fronts.line.front import LineFront
 from violetdoor.services import Front, ServiceHost
-from violetdoor.upgrade.messages import HeldReport, Message, RelaySnapshot
+from violetdoor.upgrade.messages import Message, RelaySnapshot, UsageReport
 
 
 class LineService(Front):
@@ -55,15 +55,15 @@
         self._notified_ids.clear()
         snapshot.ids = self._new_ids()
 
-    def fill_held_report(self, report: HeldReport) -> None:
+    def fill_usage_report(self, report: UsageReport) -> None:
         """Fill in what this process still holds."""
-        super().fill_held_report(report)
+        super().fill_usage_report(report)
         report.ids = self._new_ids()
 
     def on_message(self, message: Message) -> None:
         """Take in what the other process says."""
         super().on_message(message)
-        if isinstance(message, HeldReport) and message.ids is not UNSET:
+        if isinstance(message, UsageReport) and message.ids is not UNSET:
             self.front.connection_ids.add_ended(message.ids)
 
     def _new_ids(self) -> list[str]:
--- a/violetdoor/net/acceptor.py
+++ b/violetdoor/net/acceptor.py
@@ -59,7 +59,7 @@
         self.accepting_enabled = asyncio.Event()  # cleared while another process accepts this relay's clients
         self.accepting_enabled.set()
         self.sibling_descriptors = 0  # that another process of this relay holds
-        self.sibling_memory = 0  # bytes that it holds
+        self.sibling_memory_bytes = 0  # bytes that it holds
         # The answer to a client that is rejected unread, by its address; None for one that is not.
         self.rejection_for: Callable[[str], bytes | None] | None = None
         self._closing_sockets = ClosingSockets()
--- a/violetdoor/overload/service.py
+++ b/violetdoor/overload/service.py
@@ -42,7 +42,7 @@
             descriptor_fraction=lambda: acceptor.descriptors_in_use() / acceptor.capacity,
             queued_fraction=self._queued_fraction,
             relieve_memory=front.relieve_memory,
-            sibling_memory_bytes=lambda: float(acceptor.sibling_memory),
+            sibling_memory_bytes=lambda: float(acceptor.sibling_memory_bytes),
         )
         memory_limit_bytes = (self.options.memory_mb or 0.0) * BYTES_PER_MIB
         self.meter = LoadMeter(self.gate, resources, self.host.counters, memory_limit_bytes)
--- a/violetdoor/program.py
+++ b/violetdoor/program.py
@@ -59,17 +59,17 @@
         config: Config,
         source: ConfigSource,
         log_limit: RepeatedLineFilter,
-        meeting_path: Path | None = None,
+        handover_socket_path: Path | None = None,
         predecessor: InheritedState | None = None,
     ) -> None:
         """Set up a relay that has not started.
 
-        `meeting_path`: where an upgrade's processes meet, none without upgrades. `predecessor`: what the
-        process before this one has handed over.
+        `handover_socket_path`: the Unix socket over which processes hand over; None disables upgrades.
+        `predecessor`: what the process before this one has handed over.
         """
         self.config = config
         self.log_limit = log_limit
-        self.meeting_path = meeting_path
+        self.handover_socket_path = handover_socket_path
         self.predecessor = predecessor
         self.predecessor_state = predecessor.snapshot if predecessor else None
         self.inherited_listener = predecessor.listener if predecessor else None
@@ -96,7 +96,7 @@
     @property
     def predecessor_may_accept(self) -> bool:
         """Whether another process of this relay may still take clients, too."""
-        return self.upgrade is not None and not self.upgrade.handover.is_settled
+        return self.upgrade is not None and not self.upgrade.handover.is_takeover_complete
 
     def send_to_peer(self, message: Message) -> None:
         """Send a message to the other process of an upgrade, if there is one."""
@@ -135,8 +135,8 @@
         self._add_service(self.front)
         for create in services_after_front(self.config):
             self._add_service(create(self))
-        if self.meeting_path is not None:
-            self.upgrade = UpgradeService(self, self.meeting_path, self.predecessor)
+        if self.handover_socket_path is not None:
+            self.upgrade = UpgradeService(self, self.handover_socket_path, self.predecessor)
             self._add_service(self.upgrade)
 
     def _add_service(self, service: Service) -> None:
--- a/violetdoor/serve.py
+++ b/violetdoor/serve.py
@@ -12,7 +12,7 @@
 from violetdoor.configuration.sources import ConfigSource, config_source
 from violetdoor.program import Program
 from violetdoor.startup import LogOutput, run_program
-from violetdoor.upgrade.predecessor import InheritedState, meeting_path, request_handover
+from violetdoor.upgrade.predecessor import InheritedState, handover_socket_path, request_handover
 
 if TYPE_CHECKING:  # what the platform's relay has no use for stays out of its memory
     from violetdoor.rules.source import CompiledRules
@@ -34,7 +34,7 @@
 
 def _create_program(source: ConfigSource, log_output: LogOutput) -> Program:
     """Read the configuration, the predecessor's where there is one, and set the relay up."""
-    path = meeting_path(source.listen_address())
+    path = handover_socket_path(source.listen_address())
     predecessor = request_handover(path) if path else None
     config = source.load(_inherited_config(predecessor))
     log_output.use_format(config.log_format)
--- a/violetdoor/services.py
+++ b/violetdoor/services.py
@@ -14,7 +14,7 @@
 from violetdoor.balancing.events import ConnectionTotal, SiblingProcessLoad
 from violetdoor.console.server import Answer
 from violetdoor.net.process import resident_memory_bytes
-from violetdoor.upgrade.messages import HeldReport, HeldResources, Message, RelaySnapshot
+from violetdoor.upgrade.messages import Message, RelaySnapshot, ResourceUsage, UsageReport
 
 if TYPE_CHECKING:
     import socket
@@ -78,7 +78,7 @@
         """Return the sockets that it gets a descriptor of, too, by name: nobody is rejected meanwhile."""
         return {}
 
-    def fill_held_report(self, report: HeldReport) -> None:
+    def fill_usage_report(self, report: UsageReport) -> None:
         """Fill in what this process still holds; its successor gets a report every 200 ms."""
 
     def on_message(self, message: Message) -> None:
@@ -119,21 +119,21 @@
         `migrate`: also send some clients of the lowest priority elsewhere.
         """
 
-    def fill_held_report(self, report: HeldReport) -> None:
+    def fill_usage_report(self, report: UsageReport) -> None:
         """Fill in the open connections, their descriptors, and this process's memory."""
         descriptors = self.acceptor.descriptors_in_use()
-        report.resources = HeldResources(self.core.load_by_server(), descriptors, resident_memory_bytes())
+        report.resources = ResourceUsage(self.core.load_by_server(), descriptors, resident_memory_bytes())
 
     def on_message(self, message: Message) -> None:
         """Count what the other process holds."""
-        if isinstance(message, HeldReport) and message.resources is not UNSET:
+        if isinstance(message, UsageReport) and message.resources is not UNSET:
             held = {
                 server: ConnectionTotal(load, count)
                 for server, (load, count) in message.resources.held.items()
             }
             self.core.handle(SiblingProcessLoad(held))
             self.acceptor.sibling_descriptors = message.resources.descriptors
-            self.acceptor.sibling_memory = message.resources.memory
+            self.acceptor.sibling_memory_bytes = message.resources.memory
 
     def on_successor_accepting(self) -> None:
         """Accept no more, and leave health checks to the successor."""
--- a/violetdoor/upgrade/handover.py
+++ b/violetdoor/upgrade/handover.py
@@ -14,12 +14,12 @@
 from violetdoor.net.sockets import wait_readable
 from violetdoor.upgrade.messages import (
     Accepting,
-    HeldReport,
-    HeldResources,
     Hello,
     Message,
     RelaySnapshot,
+    ResourceUsage,
     Stopped,
+    UsageReport,
     encode_line,
 )
 from violetdoor.upgrade.peer_process import PeerProcess
@@ -28,7 +28,7 @@
 log = logging.getLogger("violetdoor.handover")
 
 STOP_TIMEOUT_SECONDS = 0.5  # for a predecessor to stop accepting; then it counts as stopped
-HELD_REPORT_INTERVAL_SECONDS = 0.2  # between two reports of what the old process still holds
+USAGE_REPORT_INTERVAL_SECONDS = 0.2  # between two reports of what the old process still holds
 MEETING_BACKLOG = 2  # successors that wait for an answer
 
 
@@ -41,7 +41,7 @@
     def shared_sockets(self) -> dict[str, socket.socket]:
         """Return the sockets, by name, whose descriptors a successor gets beside the listener's."""
 
-    def held_report(self) -> HeldReport:
+    def usage_report(self) -> UsageReport:
         """Return what this process still holds."""
 
     def on_message(self, message: Message) -> None:
@@ -58,13 +58,13 @@
 class Handover:
     """Meets the processes before and after this one."""
 
-    meeting_path: Path
+    handover_socket_path: Path
     program: HandoverHost
     listener: socket.socket
     peers: set[PeerProcess] = field(default_factory=set)  # that follow this process's state
     successor: PeerProcess | None = None
     predecessor: PeerProcess | None = None
-    is_settled: bool = True  # no predecessor accepts any more, as far as that can be known
+    is_takeover_complete: bool = True  # no predecessor accepts any more, as far as that can be known
 
     def broadcast(self, message: Message) -> None:
         """Send a change to the other process, if there is one."""
@@ -73,21 +73,21 @@
 
     def announce_takeover(self, inherited: InheritedState) -> None:
         """Tell the predecessor that this process accepts now, with all that it handed over."""
-        self.is_settled = False
+        self.is_takeover_complete = False
         asyncio.get_running_loop().call_later(STOP_TIMEOUT_SECONDS, self._settle)
         self.predecessor = PeerProcess(inherited.connection, inherited.unread)
         self.peers.add(self.predecessor)
         self.predecessor.send(Accepting())
 
     def _settle(self) -> None:
-        self.is_settled = True
+        self.is_takeover_complete = True
 
     async def run(self) -> None:
         """Talk to the predecessor if there is one, and wait for successors."""
         async with asyncio.TaskGroup() as group:
             if self.predecessor is not None:
                 group.create_task(self._talk_to(self.predecessor))
-            group.create_task(self._report_held())
+            group.create_task(self._report_usage())
             await self._wait_for_successors(group)
 
     async def _wait_for_successors(self, group: asyncio.TaskGroup) -> None:
@@ -112,14 +112,14 @@
             self._own_path().unlink(missing_ok=True)
 
     def _own_path(self) -> Path:
-        return self.meeting_path.with_suffix(f".{os.getpid()}")
+        return self.handover_socket_path.with_suffix(f".{os.getpid()}")
 
     def _publish_own_path(self) -> None:
         """Point the common name to this process, in one step: it replaces a stale one."""
-        link = self.meeting_path.with_suffix(f".{os.getpid()}.link")
+        link = self.handover_socket_path.with_suffix(f".{os.getpid()}.link")
         link.unlink(missing_ok=True)
         link.symlink_to(self._own_path().name)
-        link.replace(self.meeting_path)
+        link.replace(self.handover_socket_path)
 
     async def _talk_to(self, peer: PeerProcess) -> None:
         """Talk to one process until its connection ends."""
@@ -140,8 +140,8 @@
             with contextlib.suppress(OSError):
                 self._publish_own_path()
         elif peer is self.predecessor:
-            self.is_settled = True
-            self.program.on_message(HeldReport(HeldResources()))
+            self.is_takeover_complete = True
+            self.program.on_message(UsageReport(ResourceUsage()))
             log.info("the predecessor is gone")
 
     def _handle(self, message: Message, peer: PeerProcess) -> None:
@@ -154,7 +154,7 @@
                 peer.send(Stopped())
                 log.info("the successor took over: this process accepts no more")
             case Stopped():
-                self.is_settled = True
+                self.is_takeover_complete = True
             case _:
                 self.program.on_message(message)
 
@@ -169,8 +169,8 @@
         peer.outbox.enqueue(frame[1:])
         self.peers.add(peer)
 
-    async def _report_held(self) -> None:
+    async def _report_usage(self) -> None:
         while True:
-            await asyncio.sleep(HELD_REPORT_INTERVAL_SECONDS)
+            await asyncio.sleep(USAGE_REPORT_INTERVAL_SECONDS)
             if self.successor is not None:
-                self.successor.send(self.program.held_report())
+                self.successor.send(self.program.usage_report())
--- a/violetdoor/upgrade/messages.py
+++ b/violetdoor/upgrade/messages.py
@@ -133,7 +133,7 @@
     state: str = field(name="control")
 
 
-class HeldResources(Struct):
+class ResourceUsage(Struct):
     """What one process of the relay still holds."""
 
     held: dict[str, tuple[float, int]] = {}  # load and number of the open connections, by server
@@ -141,10 +141,10 @@
     memory: int = 0  # bytes
 
 
-class HeldReport(Struct):
+class UsageReport(Struct):
     """What the sender still holds, reported regularly to its successor."""
 
-    resources: HeldResources | UnsetType = field(name="beside", default=UNSET)
+    resources: ResourceUsage | UnsetType = field(name="beside", default=UNSET)
     ids: list[str] | UnsetType = UNSET  # request ids that were not reported before, in hexadecimal
 
 
@@ -157,7 +157,7 @@
     | ConfigurationChanged
     | FleetMembership
     | ControlAttachment
-    | HeldReport
+    | UsageReport
 )
 
 # The first of these keys that a message has says which one it is.
@@ -170,8 +170,8 @@
     "config": ConfigurationChanged,
     "fleet": FleetMembership,
     "control": ControlAttachment,
-    "beside": HeldReport,
-    "ids": HeldReport,
+    "beside": UsageReport,
+    "ids": UsageReport,
 }
 
 
--- a/violetdoor/upgrade/predecessor.py
+++ b/violetdoor/upgrade/predecessor.py
@@ -38,7 +38,7 @@
     sockets: dict[str, socket.socket] = field(default_factory=dict)  # further ones, by their names
 
 
-def meeting_path(listen: str) -> Path | None:
+def handover_socket_path(listen: str) -> Path | None:
     """Return where the processes of the relay at this address meet; None without a `$TMPDIR` of its own."""
     folder = os.environ.get("TMPDIR")
     if not folder:
--- a/violetdoor/upgrade/service.py
+++ b/violetdoor/upgrade/service.py
@@ -9,7 +9,7 @@
 
 from violetdoor.services import Service, ServiceHost
 from violetdoor.upgrade.handover import Handover
-from violetdoor.upgrade.messages import ConfigurationChanged, HeldReport, Message, RelaySnapshot
+from violetdoor.upgrade.messages import ConfigurationChanged, Message, RelaySnapshot, UsageReport
 from violetdoor.upgrade.predecessor import InheritedState
 
 log = logging.getLogger("violetdoor")
@@ -18,18 +18,20 @@
 class UpgradeService(Service):
     """Takes over from this relay's previous process, and hands over to the next one."""
 
-    def __init__(self, host: ServiceHost, meeting_path: Path, inherited: InheritedState | None) -> None:
+    def __init__(
+        self, host: ServiceHost, handover_socket_path: Path, inherited: InheritedState | None
+    ) -> None:
         """Meet other processes at this path; `inherited` is what a predecessor handed over."""
         self.host = host
         self.inherited = inherited
-        self.handover = Handover(meeting_path, self, host.front.acceptor.sock)
+        self.handover = Handover(handover_socket_path, self, host.front.acceptor.sock)
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Tell the predecessor that this process accepts, and wait for a successor."""
         await asyncio.sleep(0)  # the front accepts from here on
         if self.inherited is not None:
-            self.on_message(HeldReport(ids=self.inherited.snapshot.ids))
+            self.on_message(UsageReport(ids=self.inherited.snapshot.ids))
             self.handover.announce_takeover(self.inherited)
             server_count = len(self.host.core.endpoints.entries)
             log.info("took over from the predecessor: %d servers known", server_count)
@@ -55,11 +57,11 @@
             shared |= service.shared_sockets()
         return shared
 
-    def held_report(self) -> HeldReport:
+    def usage_report(self) -> UsageReport:
         """Return what this process still holds."""
-        report = HeldReport()
+        report = UsageReport()
         for service in self._others():
-            service.fill_held_report(report)
+            service.fill_usage_report(report)
         return report
 
     def on_message(self, message: Message) -> None:
