--- a/tests/control_site.py
+++ b/tests/control_site.py
@@ -17,7 +17,7 @@
 from typing import Any, ParamSpec
 
 import orjson
-from standins import ROOT, Discovery, GateServer, Relay, relay, run, until
+from standins import ROOT, Discovery, GateServer, Relay, relay, run, wait_until
 from test_fleet_process import KEY, line_front
 
 # For a state that takes elections, leases or deaths to come.
@@ -142,7 +142,7 @@
         )
         machine = ControlMachine(process)
         try:
-            await until(lambda: machine.logged("sessions of region") or process.returncode is not None)
+            await wait_until(lambda: machine.logged("sessions of region") or process.returncode is not None)
             yield machine
         finally:
             status = await machine.stop()
--- a/tests/recorded/record_forms.py
+++ b/tests/recorded/record_forms.py
@@ -28,7 +28,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from standins import PATIENCE, ROOT, Discovery, GateServer, NatsServer, Relay, relay, run, until
+from standins import ROOT, TIMEOUT_SECONDS, Discovery, GateServer, NatsServer, Relay, relay, run, wait_until
 
 FOLDER = Path(__file__).parent
 RUNS = 3  # runs of each scenario, to distinguish names that always occur from those that sometimes occur
@@ -269,7 +269,7 @@
     )  # fmt: skip
     machine = Relay(process)
     try:
-        await until(lambda: machine.console[1] or process.returncode is not None)
+        await wait_until(lambda: machine.console[1] or process.returncode is not None)
         yield machine
     finally:
         status = await machine.stop()
@@ -278,7 +278,7 @@
 
 async def wait_for_json(program: Relay, call: str, condition: Callable[[Any], bool]) -> Any:
     """Repeat a console call until its JSON fulfills a condition."""
-    async with asyncio.timeout(2 * PATIENCE):
+    async with asyncio.timeout(2 * TIMEOUT_SECONDS):
         while True:
             status, text = await program.call(call)
             if status == 200 and condition(found := json.loads(text)):
@@ -288,8 +288,8 @@
 
 async def wait_for_figure(program: Relay, name: str, minimum: int) -> None:
     """Read the figures of `/stats` until one of them is at least `minimum`."""
-    async with asyncio.timeout(PATIENCE):
-        while (await program.figures()).get(name, 0) < minimum:
+    async with asyncio.timeout(TIMEOUT_SECONDS):
+        while (await program.read_metrics()).get(name, 0) < minimum:
             await asyncio.sleep(0.01)
 
 
@@ -350,27 +350,27 @@
     async def open_client(values: bytes, number: int) -> tuple[bytes, asyncio.StreamWriter]:
         reader, writer = await program.open()
         writer.write(b"OPEN %016x 7f3a9c21e0b4d655 %b\r\n" % (number, values))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             return await reader.readline(), writer
 
     answer, established = await open_client(b"c=checkin,t=acme,d=1000,g=5c0f", 1)
     assert answer == b"UP r1\r\n"
     established.write(b"M 1\r\n")
     assert (await open_client(b"c=unknown,t=acme,d=1000", 2))[0] == b"ERR\r\n"
-    server.first = b"ERR\r\n"
+    server.first_answer = b"ERR\r\n"
     assert (await open_client(b"c=booking,t=acme,d=200", 3))[0].startswith(b"BUSY")
     reader, writer = await program.open()
     writer.write(b"nonsense\r\n")
     assert (await reader.read(-1)) is not None
     established.close()
-    await until(lambda: server.ended >= 2)
+    await wait_until(lambda: server.ended >= 2)
     good = path.read_text()
     for text, name in (("", "config_rejected"), (good, "config_applied")):
         path.write_text(text)
         program.process.send_signal(signal.SIGHUP)
         await wait_for_figure(program, name, 1)
-    async with asyncio.timeout(PATIENCE):
-        while (await program.figures())["active"]:
+    async with asyncio.timeout(TIMEOUT_SECONDS):
+        while (await program.read_metrics())["active"]:
             await asyncio.sleep(0.01)
     return list(await program.counters())
 
@@ -439,7 +439,7 @@
         b'CONNECT {"verbose":false,"pedantic":false,"user":"one.app","lang":"x","version":"1"}\r\nPING\r\n'
     )
     writer.write(connect)
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while await reader.readline() != b"PONG\r\n":
             pass
         writer.write(b"SUB a 1\r\nPUB a 2\r\nhi\r\nPING\r\n")
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -17,7 +17,7 @@
 ROOT = Path(__file__).parent.parent
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
-PATIENCE = 15.0
+TIMEOUT_SECONDS = 15.0
 
 
 def unshared_loopback_host() -> str:
@@ -29,10 +29,10 @@
     return f"127.{100 + os.getpid() % 50}.{secrets.randbelow(256)}.{1 + secrets.randbelow(254)}"
 
 
-async def until(true: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Wait for a state of a stand-in: it changes by what arrives, so looking costs little."""
-    async with asyncio.timeout(PATIENCE):
-        while not true():
+    async with asyncio.timeout(TIMEOUT_SECONDS):
+        while not condition():
             await asyncio.sleep(0.002)
 
 
@@ -51,9 +51,9 @@
 
     async def __aexit__(self, *_: object) -> None:
         self.server.close()
-        self.cut()
+        self.abort_connections()
 
-    def cut(self) -> None:
+    def abort_connections(self) -> None:
         """Break all connections."""
         for writer in self.writers:
             writer.transport.abort()
@@ -71,11 +71,11 @@
 
 
 class GateServer(Standin):
-    """A gate server of the line protocol; `first` answers a connection's first line."""
+    """A gate server of the line protocol; `first_answer` answers a connection's first line."""
 
-    def __init__(self, first: bytes = b"UP r1\r\n") -> None:
+    def __init__(self, first_answer: bytes = b"UP r1\r\n") -> None:
         super().__init__()
-        self.first, self.echo = first, True
+        self.first_answer, self.echo = first_answer, True
         self.opened: list[bytes] = []
         self.ended = 0
         self.probes, self.pong_after = 0, 0.0
@@ -89,7 +89,7 @@
             writer.write(b"PONG%b\r\n" % (self.report if first == b"STATS\r\n" else b""))
             return
         self.opened.append(first)
-        writer.write(self.first)
+        writer.write(self.first_answer)
         try:
             while line := await reader.readline():
                 if self.echo:
@@ -116,7 +116,7 @@
     def listed(self) -> dict[str, Any]:
         return {"version": self.version, "full": True, "servers": [self.entry(a) for a in self.states]}
 
-    def tell(self, server: Standin, state: str) -> None:
+    def set_state(self, server: Standin, state: str) -> None:
         self.states[server.address] = state
         self.version += 1
         self.changed.set()
@@ -206,7 +206,7 @@
                     words += [b"%d" % head] * bool(head) + [b"%d" % len(body)]
                     writer.write(b" ".join(words) + b"\r\n" + body + b"\r\n")
 
-    def say(self, line: bytes) -> None:
+    def send_to_all(self, line: bytes) -> None:
         """Say something on all connections."""
         for writer in self.writers:
             writer.write(line)
@@ -241,7 +241,7 @@
         """Ask for the counters."""
         before = self.logged("counters:")
         self.process.send_signal(signal.SIGUSR1)
-        await until(lambda: self.logged("counters:") > before)
+        await wait_until(lambda: self.logged("counters:") > before)
         last = [line for line in self.lines if "counters:" in line][-1]
         return {k: int(v) for k, v in re.findall(r"(\w+)=(\d+)", last)}
 
@@ -249,32 +249,32 @@
         """End it as the platform does; its exit status."""
         with contextlib.suppress(ProcessLookupError):
             self.process.terminate()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             status = await self.process.wait()
             await self.reading
         return status
 
     async def call(self, call: str) -> tuple[int, str]:
         """Call the console; the answer's status and text."""
-        await until(lambda: self.console[1])
+        await wait_until(lambda: self.console[1])
         reader, writer = await asyncio.open_connection(*self.console)
         writer.write(f"{call} HTTP/1.1\r\nHost: relay\r\n\r\n".encode())
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             head, _, text = (await reader.read(-1)).decode().partition("\r\n\r\n")
         writer.close()
         assert "connection: close" in head.lower()
         return int(head.split()[1]), text
 
-    async def healthy(self, yes: bool = True) -> None:
+    async def wait_for_health(self, is_healthy: bool = True) -> None:
         """Wait until the console says that this process takes clients, or that it takes none.
 
         Guards against asking once: which of an upgrade's two processes says yes changes by their talk.
         """
-        async with asyncio.timeout(PATIENCE):
-            while (await self.call("GET /healthcheck"))[0] != (200 if yes else 503):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
+            while (await self.call("GET /healthcheck"))[0] != (200 if is_healthy else 503):
                 await asyncio.sleep(0.01)
 
-    async def figures(self) -> dict[str, int]:
+    async def read_metrics(self) -> dict[str, int]:
         """What the console's figures say."""
         status, text = await self.call("GET /stats")
         assert status == 200
@@ -293,7 +293,7 @@
     )  # fmt: skip
     it = Relay(process)
     try:
-        await until(lambda: it.address[1] or process.returncode is not None)
+        await wait_until(lambda: it.address[1] or process.returncode is not None)
         yield it
     finally:
         status = await it.stop()
@@ -305,7 +305,7 @@
     """Run one test's coroutine; nothing may hang."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(4 * PATIENCE):
+        async with asyncio.timeout(4 * TIMEOUT_SECONDS):
             await test()
 
     asyncio.run(bounded())
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -14,7 +14,7 @@
 
 import pytest
 import uvloop
-from standins import Discovery, GateServer, Reader, Relay, Standin, Writer, run, until
+from standins import Discovery, GateServer, Reader, Relay, Standin, Writer, run, wait_until
 from test_core import make_controller, open_request
 from test_line import SETTINGS, open_client, read_counter, read_line, start_relay
 
@@ -54,7 +54,7 @@
         if said := await reader.readline():  # a connection without a byte is no attempt
             self.opened.append(said)
         await self.answering.wait()
-        writer.write(self.first)
+        writer.write(self.first_answer)
         await reader.read(-1)
 
 
@@ -135,7 +135,7 @@
         async with relay_around(tmp_path, one, two) as (it, _):
             _, writer = await open_client(it, LONG)
             writer.write(LINES[lines])
-            await until(lambda: one.opened or two.opened)
+            await wait_until(lambda: one.opened or two.opened)
             disconnect(writer, how)
             await wait_for_early_disconnects(it)
             one.answering.set()
@@ -157,7 +157,7 @@
         async with relay_around(tmp_path, one, two) as (it, _):
             _, writer = await open_client(it, LONG)
             writer.write(LINES[lines])
-            await until(lambda: one.opened or two.opened)
+            await wait_until(lambda: one.opened or two.opened)
             first, second = (one, two) if one.opened else (two, one)
             await writer.drain()
             disconnect(writer, how)
@@ -177,10 +177,10 @@
         async with relay_around(tmp_path, server, empty=True) as (it, discovery):
             _, writer = await open_client(it, LONG)
             writer.write(LINES[lines])
-            await until(lambda: discovery.calls)
+            await wait_until(lambda: discovery.calls)
             disconnect(writer, how)
             await wait_for_early_disconnects(it)
-            discovery.tell(server, "up")
+            discovery.set_state(server, "up")
             reader, _ = await open_client(it, LONG)
             assert await read_line(reader) == b"UP r1\r\n"
             assert len(server.opened) == 1  # the later client's alone
@@ -197,7 +197,7 @@
         async with relay_around(tmp_path, late, policyLimits=PATIENT) as (it, _):
             _, writer = await open_client(it, LONG)
             writer.write(LINES[lines])
-            await until(lambda: late.sock)
+            await wait_until(lambda: late.sock)
             async with asyncio.timeout(5):
                 while not await read_counter(it, "opens"):
                     await asyncio.sleep(0.01)
@@ -214,7 +214,7 @@
         one, two = HoldingServer(b"BUSY\r\n"), HoldingServer(b"BUSY\r\n")
         async with relay_around(tmp_path, one, two) as (it, _):
             clients = [await open_client(it, LONG) for _ in range(60)]
-            await until(lambda: len(one.opened) + len(two.opened) == 60)
+            await wait_until(lambda: len(one.opened) + len(two.opened) == 60)
             for (_, writer), (how, lines) in zip(clients, itertools.cycle(WAYS), strict=False):
                 writer.write(LINES[lines])
                 await writer.drain()
@@ -248,7 +248,7 @@
                 before = len(server.opened)
                 reader, writer = await open_client(it, LONG)
                 writer.write(sent)
-                await until(lambda before=before: len(server.opened) > before)  # type: ignore[misc]
+                await wait_until(lambda before=before: len(server.opened) > before)  # type: ignore[misc]
                 server.answering.set()
                 assert await read_line(reader) == b"UP r1\r\n"
                 writer.write(b"end\r\n")
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from nats import connect
-from standins import PATIENCE, Discovery, GateServer, NatsServer, Relay, relay, run, until
+from standins import TIMEOUT_SECONDS, Discovery, GateServer, NatsServer, Relay, relay, run, wait_until
 from test_line import open_client, read_counter, read_line, relay_with_servers, start_relay
 
 from violetdoor.console.server import MAX_CALLERS
@@ -21,21 +21,21 @@
         async with relay_with_servers(tmp_path, server) as (it, discovery):
             names = {f"{name}.checkin" for name in ("ok", "shed", "errors", "tries")}
             names |= {"active", "pool_size", "pool_ejected", "config_applied", "config_rejected"}
-            await until(lambda: discovery.calls > 1)
-            first = await it.figures()
+            await wait_until(lambda: discovery.calls > 1)
+            first = await it.read_metrics()
             assert names == first.keys()
             assert first["pool_size"] == 1
             assert sum(first.values()) == 1
             reader, writer = await open_client(it)
             assert await read_line(reader) == b"UP r1\r\n"
-            seen = await it.figures()
+            seen = await it.read_metrics()
             assert (seen["ok.checkin"], seen["tries.checkin"], seen["active"]) == (1, 1, 1)
-            server.first = b"ERR\r\n"
+            server.first_answer = b"ERR\r\n"
             refused, _ = await open_client(it, b"c=checkin,t=acme,d=200")
             assert (await read_line(refused)).startswith(b"BUSY")
             writer.close()
-            await until(lambda: server.ended == 2)
-            seen = await it.figures()
+            await wait_until(lambda: server.ended == 2)
+            seen = await it.read_metrics()
             assert (seen["ok.checkin"], seen["shed.checkin"], seen["errors.checkin"]) == (1, 1, 0)
             assert seen["tries.checkin"] == len(server.opened)
             assert seen["active"] == 0
@@ -48,7 +48,7 @@
 
     async def test() -> None:
         async with Discovery() as discovery, start_relay(tmp_path, discovery) as it:
-            await until(lambda: it.console[1])
+            await wait_until(lambda: it.console[1])
             callers = [await asyncio.open_connection(*it.console) for _ in range(2 * MAX_CALLERS)]
             for n, (_, writer) in enumerate(callers):
                 if n % 2:
@@ -56,7 +56,7 @@
             for _ in range(3):
                 async with asyncio.timeout(1.0):
                     assert (await it.call("GET /healthcheck"))[0] == 200
-            async with asyncio.timeout(PATIENCE):  # all of them are sent away in the end
+            async with asyncio.timeout(TIMEOUT_SECONDS):  # all of them are sent away in the end
                 for reader, writer in callers:
                     with contextlib.suppress(ConnectionError):
                         await reader.read(-1)
@@ -69,7 +69,7 @@
 def test_invalid_calls_are_rejected_with_their_status(tmp_path: Path) -> None:
     async def test() -> None:
         async with Discovery() as discovery, start_relay(tmp_path, discovery) as it:
-            await until(lambda: it.console[1])
+            await wait_until(lambda: it.console[1])
             for call, status in (("GET /nothing", 404), ("PUT /stats", 405), ("WHAT", 400),
                                  ("GET /" + "x" * 9000, 413)):  # fmt: skip
                 assert (await it.call(call))[0] == status
@@ -84,7 +84,7 @@
             assert await read_line(reader) == b"UP r1\r\n"
             assert (await it.call("GET /healthcheck"))[0] == 200
             it.process.terminate()
-            await until(lambda: it.logged("serving -> draining"))
+            await wait_until(lambda: it.logged("serving -> draining"))
             assert (await it.call("GET /healthcheck"))[0] == 503
 
     run(test)
@@ -112,8 +112,8 @@
 
 async def figures_with(it: Relay, name: str) -> dict[str, int]:
     """The figures once this one has begun to count."""
-    async with asyncio.timeout(PATIENCE):
-        while not (seen := await it.figures())[name]:
+    async with asyncio.timeout(TIMEOUT_SECONDS):
+        while not (seen := await it.read_metrics())[name]:
             await asyncio.sleep(0.01)
     return seen
 
@@ -131,18 +131,18 @@
             assert (await it.call("PUT /gate-servers/s-nobody/ready"))[0] == 404
             for _ in range(2):
                 assert (await it.call(f"PUT /gate-servers/{name}/maint"))[0] == 200
-            assert (await it.figures())["pool_ejected"] == 1
-            await until(lambda: away.ended == stood)  # those that stood there were moved
+            assert (await it.read_metrics())["pool_ejected"] == 1
+            await wait_until(lambda: away.ended == stood)  # those that stood there were moved
             for state in ("removed", "up"):
                 changes = await read_counter(it, "discovery_changes")
-                discovery.tell(away, state)
+                discovery.set_state(away, state)
                 while await read_counter(it, "discovery_changes") == changes:
                     await asyncio.sleep(0.01)
                 reader, _ = await open_client(it)
                 assert await read_line(reader) == b"UP r1\r\n"
             assert len(away.opened) == stood
             assert (await it.call(f"PUT /gate-servers/{name}/ready"))[0] == 200
-            assert (await it.figures())["pool_ejected"] == 0
+            assert (await it.read_metrics())["pool_ejected"] == 0
             async with asyncio.timeout(5):
                 while len(away.opened) == stood:
                     reader, writer = await open_client(it)
@@ -161,7 +161,7 @@
                 reader, _ = await open_client(it, b"c=checkin,t=acme,d=200")
                 assert (await read_line(reader)).startswith(b"BUSY")
                 assert not server.opened
-                assert (await it.figures())["pool_ejected"] == 1
+                assert (await it.read_metrics())["pool_ejected"] == 1
 
     run(test)
 
@@ -176,11 +176,11 @@
             data = json.loads(path.read_text())
 
             async def hup(text: str, figure: str) -> None:
-                before = (await it.figures())[figure]
+                before = (await it.read_metrics())[figure]
                 path.write_text(text)
                 it.process.send_signal(signal.SIGHUP)
-                async with asyncio.timeout(PATIENCE):
-                    while (await it.figures())[figure] == before:
+                async with asyncio.timeout(TIMEOUT_SECONDS):
+                    while (await it.read_metrics())[figure] == before:
                         await asyncio.sleep(0.01)
 
             old, old_writer = await open_client(it)
@@ -207,7 +207,7 @@
             kept = await open_client(it)
             assert await read_line(kept[0]) == b"UP r1\r\n"
             await hup(json.dumps(new), "config_applied")
-            figures = await it.figures()
+            figures = await it.read_metrics()
             assert figures["config_rejected"] == len(broken)
             assert figures["ok.door"] == 0
             placed = await open_client(it, b"c=door,d=1000")
@@ -217,11 +217,11 @@
             old_writer.write(b"M 1\r\n")
             assert await read_line(old) == b"re M 1\r\n"
             # At most once, and one attempt: what may have run is not tried again, nor said to be harmless.
-            server.first, tried = b"ERR\r\n", len(server.opened)
+            server.first_answer, tried = b"ERR\r\n", len(server.opened)
             reader, _ = await open_client(it, b"c=door,d=1000")
             assert await read_line(reader) == b"ERR\r\n"
             assert len(server.opened) == tried + 1
-            seen = await it.figures()
+            seen = await it.read_metrics()
             assert (seen["errors.door"], seen["errors.checkin"], seen["active"]) == (1, 1, 3)
 
     run(test)
--- a/tests/test_control_connection.py
+++ b/tests/test_control_connection.py
@@ -15,7 +15,7 @@
 import uvloop
 from hypothesis import given
 from hypothesis import strategies as st
-from standins import PATIENCE, until
+from standins import TIMEOUT_SECONDS, wait_until
 
 from violetdoor.control import connection as connection_module
 from violetdoor.control.connection import Connection, start_accepted
@@ -50,7 +50,7 @@
     @functools.wraps(test)
     def run(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
         async def bounded() -> None:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 await test(*args, **kwargs)
 
         asyncio.run(bounded())
@@ -214,7 +214,7 @@
     """Connect a dialer, and wait until its side of the handshake is complete."""
     dialer, handler = make_dialer(key)
     dialer.dial(server.address)
-    await until(lambda: handler.opened)
+    await wait_until(lambda: handler.opened)
     return dialer, handler
 
 
@@ -233,7 +233,7 @@
         dialer, handler = await connected_dialer(server)
         for number in range(BURST):
             dialer.send(Heartbeat(number, None))
-        await until(lambda: len(server.handler.messages) == BURST)
+        await wait_until(lambda: len(server.handler.messages) == BURST)
         assert [message.number for message in server.handler.messages] == list(range(BURST))
         assert dialer.counters["writes"] == 1  # of one round of the loop
         (connection,) = server.handler.opened
@@ -241,7 +241,7 @@
         connection.close()
         assert server.handler.close_reasons == [CloseReason.HERE]
         dialer.send(Leave())  # unread at the other side: the last message arrives all the same
-        await until(lambda: handler.close_reasons)
+        await wait_until(lambda: handler.close_reasons)
         assert handler.messages == [GoAway(1.0)]
         assert handler.close_reasons == [CloseReason.PEER]
         connection.send(GoAway(2.0))  # to nobody
@@ -253,25 +253,25 @@
         dialer, handler = await connected_dialer(server)
         foreign, _ = await connected_dialer(server, OTHER_KEY)
         foreign.send(Heartbeat(1, None))
-        await until(lambda: server.counters["dropped_seal"] == 1)
+        await wait_until(lambda: server.counters["dropped_seal"] == 1)
 
         def dropped() -> int:
             return server.counters["dropped_length"] + server.counters["dropped_seal"]
 
         await send_raw(server, b"x" * NONCE_BYTES + b"\xff\xff\xff\xff")
-        await until(lambda: dropped() == 1 + 1)
+        await wait_until(lambda: dropped() == 1 + 1)
         await send_raw(server, b"x" * NONCE_BYTES + b"\0\0\0\x20" + b"y" * 32)
-        await until(lambda: dropped() == 1 + 2)
+        await wait_until(lambda: dropped() == 1 + 2)
 
         codec = FrameCodec(MessageAuthenticator(KEY), Side.CLIENT)
         reader, writer = await asyncio.open_connection(*server.address)
         assert not list(codec.feed(await reader.readexactly(NONCE_BYTES)))
         writer.write(codec.nonce + codec.encode_frame(b"\x93 no message"))
-        await until(lambda: server.counters["dropped_form"] == 1)
+        await wait_until(lambda: server.counters["dropped_form"] == 1)
         writer.close()
         assert not server.handler.opened  # none of these was ever a session
         dialer.send(Heartbeat(2, None))
-        await until(lambda: server.handler.messages)
+        await wait_until(lambda: server.handler.messages)
         assert not handler.close_reasons
 
 
@@ -297,7 +297,7 @@
         await asyncio.to_thread(sock.connect, server.address)
         assert not list(codec.feed(await asyncio.to_thread(sock.recv, NONCE_BYTES)))
         sock.sendall(codec.nonce + codec.encode_frame(encode(Leave())))
-        await until(lambda: server.handler.opened)
+        await wait_until(lambda: server.handler.opened)
         (connection,) = server.handler.opened
         entry = MapEntry("k" * 64, HybridTimestamp(1, 2, "r"), 1.0)
         chunk = Entries((entry,) * 400)
@@ -305,7 +305,7 @@
             connection.send(chunk)
             await asyncio.sleep(0)
         assert server.handler.backlogs[-1] > 0
-        await until(lambda: server.handler.close_reasons)
+        await wait_until(lambda: server.handler.close_reasons)
         assert server.handler.close_reasons == [CloseReason.STALLED]
         sock.close()
 
@@ -318,7 +318,7 @@
         for number in range(BURST):
             dialer.send(Heartbeat(number, None))
         assert handler.close_reasons == [CloseReason.QUEUE]
-        await until(lambda: server.handler.close_reasons or server.counters)
+        await wait_until(lambda: server.handler.close_reasons or server.counters)
 
 
 @on_both_loops
@@ -327,7 +327,7 @@
         dialer, handler = await connected_dialer(server)
         server.handler.fails = True
         dialer.send(Leave())
-        await until(lambda: handler.close_reasons)
+        await wait_until(lambda: handler.close_reasons)
         assert server.handler.close_reasons == [CloseReason.FAULT]
         assert server.counters["faults"] == 1
 
@@ -339,12 +339,12 @@
         dialer.dial(silent.getsockname()[:2])
         async with running_server() as server:
             dialer.dial(server.address)
-            await until(lambda: handler.opened)
+            await wait_until(lambda: handler.opened)
             dialer.close()
-            await until(lambda: server.connections and server.connections[0].is_closing)
+            await wait_until(lambda: server.connections and server.connections[0].is_closing)
         assert not handler.close_reasons
         assert not handler.failures
     dialer.dial(server.address)
-    await until(lambda: handler.failures)
+    await wait_until(lambda: handler.failures)
     assert handler.failures == [True]
     assert dialer.counters["connects_failed"] == 1
--- a/tests/test_control_process.py
+++ b/tests/test_control_process.py
@@ -29,7 +29,7 @@
     leader_of,
     lease_with,
 )
-from standins import PATIENCE, Discovery, GateServer, Relay, until
+from standins import TIMEOUT_SECONDS, Discovery, GateServer, Relay, wait_until
 from test_fleet_process import KEY, line_front, run_command
 from test_line import start_relay
 
@@ -50,18 +50,18 @@
     async with control_site(tmp_path) as site:
         first, *others = site.relays
         last = others[-1]
-        assert [(await relay.figures())["fleet_size"] for relay in site.relays] == [RELAYS] * RELAYS
+        assert [(await relay.read_metrics())["fleet_size"] for relay in site.relays] == [RELAYS] * RELAYS
 
         async def knows_all_servers() -> bool:
-            return (await first.figures())["pool_size"] == len(site.gate_servers)
+            return (await first.read_metrics())["pool_size"] == len(site.gate_servers)
 
         async def is_banned_everywhere() -> bool:
-            return {(await relay.figures())["pool_ejected"] for relay in others} == {1}
+            return {(await relay.read_metrics())["pool_ejected"] for relay in others} == {1}
 
         async def is_unbanned_everywhere() -> bool:
-            return not any([(await relay.figures())["pool_ejected"] for relay in site.relays])
+            return not any([(await relay.read_metrics())["pool_ejected"] for relay in site.relays])
 
-        await eventually(knows_all_servers, PATIENCE)
+        await eventually(knows_all_servers, TIMEOUT_SECONDS)
         server = f"s-{site.gate_servers[0].address}"
         assert (await first.call(f"PUT /gate-servers/{server}/maint"))[0] == HTTPStatus.OK
         await eventually(is_banned_everywhere, SHARED_WITHIN_SECONDS)
@@ -124,7 +124,7 @@
     random = Random(1)
     for length in (0, NONCE_BYTES, NONCE_BYTES + 1, 40, 5000):
         await send(random.randbytes(length))
-    await eventually(drops_are_counted, PATIENCE)
+    await eventually(drops_are_counted, TIMEOUT_SECONDS)
     counters = (await control_status(machine))["counts"]
     assert counters["accepted"] >= MIN_EXPECTED_ACCEPTS
     assert counters["dropped_length"] >= MIN_EXPECTED_DROPS
@@ -144,7 +144,7 @@
     open_descriptors = len(os.listdir(f"/proc/{pid}/fd"))
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (open_descriptors + 4, limits[1]))
     writers = [(await asyncio.open_connection(host, int(port)))[1] for _ in range(16)]
-    await until(lambda: machine.logged("accept failed"))
+    await wait_until(lambda: machine.logged("accept failed"))
     for writer in writers:
         writer.close()
     resource.prlimit(pid, resource.RLIMIT_NOFILE, limits)
@@ -223,7 +223,7 @@
     async def reload(expected_line: str) -> None:
         logged_before = machine.logged(expected_line)
         machine.process.send_signal(signal.SIGHUP)
-        await until(lambda: machine.logged(expected_line) > logged_before)
+        await wait_until(lambda: machine.logged(expected_line) > logged_before)
 
     for broken in (sound[:-3], sound.replace('"region": "r1"', '"region": "r2"')):
         path.write_text(broken)
@@ -249,8 +249,8 @@
     old, *others = site.relays
     before = await fleet_status(old)
     async with site.region.running_relay("r0") as new:
-        await new.healthy()
-        await old.healthy(yes=False)
+        await new.wait_for_health()
+        await old.wait_for_health(is_healthy=False)
         after = await lease_with(new, living=RELAYS)
         assert after["instance"] == before["instance"]
         assert after["attempt"] > before["attempt"]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -6,7 +6,7 @@
 import resource
 from pathlib import Path
 
-from standins import Discovery, GateServer, run, until
+from standins import Discovery, GateServer, run, wait_until
 from test_line import open_client, read_counter, read_line, start_relay
 
 from violetdoor.net.acceptor import RESERVED_DESCRIPTORS
@@ -22,11 +22,11 @@
             Discovery(server) as discovery,
             start_relay(tmp_path, discovery) as it,
         ):
-            await until(lambda: discovery.calls >= 2)  # the list, then the watch
+            await wait_until(lambda: discovery.calls >= 2)  # the list, then the watch
             discovery.broken = True
-            discovery.tell(server, "up")  # so that the watch ends, and what follows is refused
+            discovery.set_state(server, "up")  # so that the watch ends, and what follows is refused
             calls = discovery.calls
-            await until(lambda: discovery.calls > calls)
+            await wait_until(lambda: discovery.calls > calls)
             pid, name = it.process.pid, resource.RLIMIT_NOFILE
             before = resource.prlimit(pid, name)
             held = len(list(Path(f"/proc/{pid}/fd").iterdir()))
@@ -34,12 +34,12 @@
             idle = [await it.open() for _ in range(30)]
             for _, writer in idle:
                 writer.write(b"PING\r\n")
-            await until(lambda: it.logged("accept failed"))
+            await wait_until(lambda: it.logged("accept failed"))
             failed = discovery.calls
-            await until(lambda: discovery.calls > failed)  # refused, though no other descriptor is free
+            await wait_until(lambda: discovery.calls > failed)  # refused, though no other descriptor is free
             changes = await read_counter(it, "discovery_changes")
             discovery.broken = False
-            discovery.tell(server, "draining")
+            discovery.set_state(server, "draining")
             returned = asyncio.get_running_loop().time()
             while await read_counter(it, "discovery_changes") == changes:
                 await asyncio.sleep(0.01)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,7 +15,7 @@
 
 import pytest
 import uvloop
-from standins import PATIENCE, ROOT, Discovery, GateServer, Reader, Writer, run, until
+from standins import ROOT, TIMEOUT_SECONDS, Discovery, GateServer, Reader, Writer, run, wait_until
 from test_client_disconnect import PATIENT, HoldingServer, LateServer, disconnect, relay_around
 from test_line import SETTINGS, open_client, opening_line, read_counter, read_line, relay_with_servers
 
@@ -30,7 +30,7 @@
 
 async def read_to_end(reader: Reader) -> bytes:
     """Everything up to an end in order; a reset is an error."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         return await reader.read(-1)
 
 
@@ -50,7 +50,7 @@
             writer.write(said)
             if said.startswith(b"PING"):
                 assert await read_line(reader) == b"PONG\r\n"
-            await until(lambda: it.address)
+            await wait_until(lambda: it.address)
             while not await read_counter(it, "accepted"):
                 await asyncio.sleep(0.01)
             it.process.terminate()
@@ -70,7 +70,7 @@
         held = HoldingServer(b"UP r1\r\n")
         async with relay_around(tmp_path, held, **SLOW) as (it, _):
             sent, _ = await open_client(it, LONG)
-            await until(lambda: held.opened)
+            await wait_until(lambda: held.opened)
             began = asyncio.get_running_loop().time()
             it.process.terminate()
             assert await read_to_end(sent) == b"ERR\r\n"  # its server may have run it
@@ -84,7 +84,7 @@
     async def test() -> None:
         async with relay_around(tmp_path, GateServer(), empty=True, **SLOW) as (it, discovery):
             reader, _ = await open_client(it, LONG)
-            await until(lambda: discovery.calls)
+            await wait_until(lambda: discovery.calls)
             it.process.terminate()
             assert re.fullmatch(rb"BUSY \d+\r\n", await read_to_end(reader))
 
@@ -97,13 +97,13 @@
             clients = [await open_client(it) for _ in range(20)]
             assert all([await read_line(reader) == b"UP r1\r\n" for reader, _ in clients])
             it.process.terminate()
-            await until(lambda: it.logged("serving -> draining"))
+            await wait_until(lambda: it.logged("serving -> draining"))
             path = tmp_path / "config.json"
             held = json.loads(path.read_text())
             held["settings"]["classes"][0] |= {"goalTime": 10.0, "hardLimit": 20.0}
             path.write_text(json.dumps(held))
             it.process.send_signal(signal.SIGHUP)
-            await until(lambda: it.logged("reloaded"))
+            await wait_until(lambda: it.logged("reloaded"))
             assert await asyncio.gather(*(read_to_end(reader) for reader, _ in clients)) == [b"MOVE\r\n"] * 20
             it.process.terminate()  # a second one changes nothing
 
@@ -136,7 +136,7 @@
                 env=os.environ | {"BALANCER_CONFIG": str(path), "TMPDIR": str(tmp_path)},
                 stderr=asyncio.subprocess.PIPE,
             )  # fmt: skip
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 await asked.wait()
                 process.terminate()
                 _, said = await process.communicate()
@@ -168,11 +168,11 @@
         async with relay_around(tmp_path, one) as (it, _):
             reader, _ = await open_client(it, b"c=checkin,t=acme,d=300")  # timed out
             await read_to_end(reader)
-            await until(lambda: ends)
+            await wait_until(lambda: ends)
             _, writer = await open_client(it, LONG)  # its client leaves
-            await until(lambda: len(one.opened) == 1 + len(ends))
+            await wait_until(lambda: len(one.opened) == 1 + len(ends))
             writer.close()
-            await until(lambda: len(ends) == len(one.opened))
+            await wait_until(lambda: len(ends) == len(one.opened))
             assert set(ends) == {"reset"}
 
     run(test)
@@ -197,7 +197,7 @@
                 reader, writer = await open_client(it)
                 assert await read_line(reader) == b"UP r1\r\n"
                 disconnect(writer, how)
-                await until(lambda how=how: how in ends)  # type: ignore[misc]
+                await wait_until(lambda how=how: how in ends)  # type: ignore[misc]
         assert ends == ["end", "reset"]
 
     run(test)
@@ -212,7 +212,7 @@
 def test_malformed_answer_counts_as_possibly_executed(tmp_path: Path, answer: bytes, outcome: str) -> None:
     async def test() -> None:
         limits = PATIENT | {"sendCap": 1}
-        async with relay_around(tmp_path, GateServer(first=answer), policyLimits=limits) as (it, _):
+        async with relay_around(tmp_path, GateServer(first_answer=answer), policyLimits=limits) as (it, _):
             reader, _ = await open_client(it, LONG)
             said = await read_line(reader)
             assert said == answer if outcome == "ok" else said.startswith(b"BUSY ")
@@ -236,7 +236,7 @@
             async def serve(self, reader: Reader, writer: Writer) -> None:
                 if said := await reader.readline():
                     self.opened.append(said)
-                writer.write(self.first)
+                writer.write(self.first_answer)
                 await writer.drain()
 
         one, two = Ending(answer), Ending(answer)
@@ -265,9 +265,9 @@
             relay_around(tmp_path, first, classes=[cls], policyLimits=PATIENT) as (it, discovery),
         ):
             reader, _ = await open_client(it, LONG)
-            await until(lambda: first.opened)
-            discovery.tell(first, "draining")
-            discovery.tell(late, "up")
+            await wait_until(lambda: first.opened)
+            discovery.set_state(first, "draining")
+            discovery.set_state(late, "up")
             while await read_counter(it, "discovery_changes") < 2:  # both at once
                 await asyncio.sleep(0.01)
             first.answering.set()
@@ -318,7 +318,7 @@
 
 def test_server_sending_an_endless_line_loses_its_client_to_another(tmp_path: Path) -> None:
     async def test() -> None:
-        server = GateServer(first=b"UP r1\r\nre M 1\r\n" + b"x" * 9000)
+        server = GateServer(first_answer=b"UP r1\r\nre M 1\r\n" + b"x" * 9000)
         async with relay_around(tmp_path, server) as (it, _):
             reader, _ = await open_client(it)
             assert await read_to_end(reader) == b"UP r1\r\nre M 1\r\nMOVE\r\n"
@@ -385,7 +385,7 @@
         async def serve(sock: socket.socket) -> bool:
             began.set()
             try:
-                await asyncio.sleep(PATIENCE)
+                await asyncio.sleep(TIMEOUT_SECONDS)
             except asyncio.CancelledError:
                 if acceptor.is_closing:
                     sock.send(FULL)
@@ -420,7 +420,7 @@
         running = asyncio.get_running_loop().create_task(acceptor.run())
         reader, _ = await connect_client(acceptor, b"x")
         assert await read_line(reader) == b"ERR\r\n"
-        await until(lambda: acceptor.lingering)
+        await wait_until(lambda: acceptor.lingering)
         other = asyncio.current_task()
         assert other is not None
         assert acceptor.evict_longest_waiting(except_for=other)
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -115,12 +115,12 @@
     async def test() -> None:
         async with fleet_of_three(tmp_path) as (site, (one, two, _), gates):
             async with asyncio.timeout(15.0):
-                while (await one.figures())["pool_size"] != 2:
+                while (await one.read_metrics())["pool_size"] != 2:
                     await asyncio.sleep(0.01)
             server = f"s-{gates[0].address}"
             assert (await one.call(f"PUT /gate-servers/{server}/maint"))[0] == 200
             async with asyncio.timeout(1.0):  # all know within a second
-                while (await two.figures())["pool_ejected"] != 1:
+                while (await two.read_metrics())["pool_ejected"] != 1:
                     await asyncio.sleep(0.01)
             # One that enters knows before it takes its first client.
             site.names.append("r3")
@@ -133,7 +133,9 @@
                 assert len(gates[1].opened) == 8
                 assert (await late.call(f"PUT /gate-servers/{server}/ready"))[0] == 200
                 async with asyncio.timeout(1.0):
-                    while (await one.figures())["pool_ejected"] or (await two.figures())["pool_ejected"]:
+                    while (await one.read_metrics())["pool_ejected"] or (await two.read_metrics())[
+                        "pool_ejected"
+                    ]:
                         await asyncio.sleep(0.01)
 
     run(test)
@@ -152,7 +154,7 @@
                 clients[-1].send(b"PING")
                 assert await clients[-1].line() == b"PONG"
             before = len(first.connects)
-            first.say(b'INFO {"ldm":true}\r\n')
+            first.send_to_all(b'INFO {"ldm":true}\r\n')
             async with asyncio.timeout(1.0):
                 while not (await fleet_status(two))["shared"]:
                     await asyncio.sleep(0.01)
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from standins import GateServer, Reader, Writer, run, until
+from standins import GateServer, Reader, Writer, run, wait_until
 from test_client_disconnect import PATIENT, disconnect, relay_around
 from test_endings import LONG, read_to_end
 from test_line import SETTINGS, open_client, opening_line, read_counter, read_line
@@ -91,7 +91,7 @@
         async with relay_around(tmp_path, server, policyLimits=PATIENT) as (it, _):
             _, deaf = await open_client(it, LONG)
             deaf.transport.pause_reading()  # type: ignore[attr-defined]
-            await until(lambda: server.opened)
+            await wait_until(lambda: server.opened)
             reader, writer = await open_client(it, LONG)
             assert await read_line(reader) == b"UP r1\r\n"
             for n in range(20):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -7,7 +7,7 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 
-from standins import Discovery, GateServer, Relay, relay, run, until
+from standins import Discovery, GateServer, Relay, relay, run, wait_until
 from test_line import open_client, opening_line, read_counter, read_line, start_relay
 
 HELD = b"c=checkin,t=acme,d=1000"
@@ -39,12 +39,12 @@
             half, half_writer = await old.open()
             half_writer.write(b"OPEN ")
             async with successor_process(tmp_path) as new:
-                await new.healthy()
+                await new.wait_for_health()
                 assert new.address == old.address
-                await old.healthy(False)
+                await old.wait_for_health(False)
                 later = [await open_client(new, HELD) for _ in range(5)]
                 assert [await read_line(r) for r, _ in later] == [b"UP r1\r\n"] * 5
-                assert (await new.figures())["active"] == 5
+                assert (await new.read_metrics())["active"] == 5
                 assert not out.opened
                 thief, thief_writer = await new.open()
                 thief_writer.write(taken)
@@ -52,14 +52,14 @@
                 # A ban lifted at either process is lifted at both, and so is one set.
                 assert (await new.call(f"PUT /gate-servers/s-{out.address}/ready"))[0] == 200
                 assert (await old.call(f"PUT /gate-servers/s-{server.address}/maint"))[0] == 200
-                await until(lambda: new.logged("console on"))
-                while (await new.figures())["pool_ejected"] != 1:
+                await wait_until(lambda: new.logged("console on"))
+                while (await new.read_metrics())["pool_ejected"] != 1:
                     pass
-                await until(lambda: server.ended == 6)  # moved at both
+                await wait_until(lambda: server.ended == 6)  # moved at both
                 assert await read_line(reader) == b"MOVE\r\n"
                 # One that the old process took in has no BUSY from it, though it leaves.
                 old.process.terminate()
-                await until(lambda: old.logged("serving -> draining"))
+                await wait_until(lambda: old.logged("serving -> draining"))
                 half_writer.write(opening_line(HELD)[5:])
                 assert await read_line(half) in (b"UP r1\r\n", b"MOVE\r\n")
                 assert await old.process.wait() == 0
@@ -79,14 +79,14 @@
         ):  # fmt: skip
             for times in (1, 2):
                 async with successor_process(tmp_path) as new:
-                    await new.healthy()
+                    await new.wait_for_health()
                     new.killed = True
                     new.process.kill()
                     await new.process.wait()
-                await until(lambda: old.logged("this process accepts again") == times)  # noqa: B023
+                await wait_until(lambda: old.logged("this process accepts again") == times)  # noqa: B023
                 reader, _ = await open_client(old, HELD)
                 assert await read_line(reader) == b"UP r1\r\n"
-                await old.healthy()
+                await old.wait_for_health()
             assert await read_counter(old, "accepted") == 2
 
     run(test)
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from standins import ROOT, Discovery, GateServer, Reader, Relay, Standin, Writer, relay, run, until
+from standins import ROOT, Discovery, GateServer, Reader, Relay, Standin, Writer, relay, run, wait_until
 
 from violetdoor.balancing.events import MeasurementKind
 from violetdoor.fronts.line.errors import InvalidOpeningError
@@ -94,7 +94,7 @@
     """Bytes that come together with UP are not lost."""
 
     async def test() -> None:
-        server = GateServer(first=b"UP r1\r\nhello\r\nLOAD 4100.5\r\n")
+        server = GateServer(first_answer=b"UP r1\r\nhello\r\nLOAD 4100.5\r\n")
         async with relay_with_servers(tmp_path, server) as (it, _):
             check, ping = await it.open()
             ping.write(b"PING\r\n")
@@ -117,7 +117,7 @@
             assert after == b"g=5c0f\r\n"
             assert 300 < int(left) < 1000
             writer.close()
-            await until(lambda: server.ended == 1)
+            await wait_until(lambda: server.ended == 1)
             counts = await it.counters()
             assert counts["answered_up"] == counts["load_lines"] == 2
             assert counts["ended_by_client"] == 1
@@ -137,7 +137,7 @@
         class Ending(GateServer):
             async def serve(self, reader: Reader, writer: Writer) -> None:
                 self.opened.append(await reader.readline())
-                writer.write(self.first)
+                writer.write(self.first_answer)
                 await writer.drain()
 
         server = Ending(first)
@@ -156,7 +156,7 @@
 
 def test_silent_server_times_out_and_its_client_is_answered_in_time(tmp_path: Path) -> None:
     async def test() -> None:
-        async with relay_with_servers(tmp_path, GateServer(first=b"")) as (it, _):
+        async with relay_with_servers(tmp_path, GateServer(first_answer=b"")) as (it, _):
             began = asyncio.get_running_loop().time()
             reader, _ = await open_client(it)
             assert (await read_line(reader)).startswith(b"BUSY ")
@@ -170,21 +170,21 @@
     async def test() -> None:
         one, two = GateServer(), GateServer()
         async with relay_with_servers(tmp_path, one, two) as (it, discovery):
-            await until(lambda: discovery.calls >= 1)
-            discovery.tell(one, "draining")
-            await until(lambda: discovery.calls >= 2)
+            await wait_until(lambda: discovery.calls >= 1)
+            discovery.set_state(one, "draining")
+            await wait_until(lambda: discovery.calls >= 2)
             for _ in range(10):
                 reader, _ = await open_client(it)
                 assert await read_line(reader) == b"UP r1\r\n"
             assert len(two.opened) == 10
             assert not one.opened
             discovery.broken = True
-            discovery.tell(two, "up")
+            discovery.set_state(two, "up")
             calls = discovery.calls
-            await until(lambda: discovery.calls >= calls + 2)
+            await wait_until(lambda: discovery.calls >= calls + 2)
             discovery.broken = False
-            discovery.tell(two, "draining")
-            await until(lambda: discovery.calls >= calls + 5)
+            discovery.set_state(two, "draining")
+            await wait_until(lambda: discovery.calls >= calls + 5)
             reader, _ = await open_client(it)
             assert (await read_line(reader)).startswith(b"BUSY ")
 
@@ -213,9 +213,9 @@
         async with one, two, Discovery(one, two) as agent:
             agent.version = 41
             async with start_relay(tmp_path, agent, settings=PUSHED) as it:
-                await until(lambda: agent.asked == [41])  # nobody has connected yet
-                agent.tell(one, "draining")
-                await until(lambda: agent.asked == [41, 42])
+                await wait_until(lambda: agent.asked == [41])  # nobody has connected yet
+                agent.set_state(one, "draining")
+                await wait_until(lambda: agent.asked == [41, 42])
                 for _ in range(5):
                     assert await answer(it) == b"UP r1\r\n"
                 assert len(two.opened) == 5
@@ -223,21 +223,21 @@
                 # It breaks, and comes back behind what it had told: the drain stays, what is new is heard.
                 agent.version, agent.asked, agent.behind = 7, [], True
                 agent.states[one.address] = "up"
-                agent.cut()
-                await until(lambda: None in agent.asked and agent.asked[-1] == 7)
+                agent.abort_connections()
+                await wait_until(lambda: None in agent.asked and agent.asked[-1] == 7)
                 for _ in range(5):
                     assert await answer(it) == b"UP r1\r\n"
                 assert len(two.opened) == 10
                 assert not one.opened
-                agent.tell(two, "draining")
-                await until(lambda: agent.asked[-1] == 8)
+                agent.set_state(two, "draining")
+                await wait_until(lambda: agent.asked[-1] == 8)
                 assert (await answer(it)).startswith(b"BUSY ")
                 # It answers nothing but faults for a while, and is asked on without a word to the module.
                 agent.broken, calls, agent.version = True, agent.calls, 50
-                agent.tell(one, "up")
-                await until(lambda: agent.calls >= calls + 3)
+                agent.set_state(one, "up")
+                await wait_until(lambda: agent.calls >= calls + 3)
                 agent.broken = False
-                await until(lambda: agent.asked[-1] == 51)
+                await wait_until(lambda: agent.asked[-1] == 51)
                 assert await answer(it) == b"UP r1\r\n"
 
     run(test)
@@ -268,7 +268,7 @@
 
 def test_server_that_reports_its_load_with_busy_gets_no_further_request(tmp_path: Path) -> None:
     async def test() -> None:
-        full, idle = GateServer(first=b"BUSY x0=1.4\r\n"), GateServer()
+        full, idle = GateServer(first_answer=b"BUSY x0=1.4\r\n"), GateServer()
         async with relay_with_servers(tmp_path, full, idle, **REPORTED) as (it, _):
             for _ in range(20):
                 assert await answer(it) == b"UP r1\r\n"
@@ -299,7 +299,7 @@
     """Guards against a small load that is taken for late messages where servers tell of no such thing."""
 
     async def test() -> None:
-        server = GateServer(first=b"UP r1\r\nLOAD 90000\r\nLOAD 40\r\n")  # its load comes with UP
+        server = GateServer(first_answer=b"UP r1\r\nLOAD 90000\r\nLOAD 40\r\n")  # its load comes with UP
         async with relay_with_servers(tmp_path, server, familyInfo=SETTINGS["familyInfo"] | told) as (it, _):
             _held = await open_client(it)
             while await read_counter(it, "load_lines") < 2:
@@ -344,19 +344,19 @@
             config |= {"discovery": agent.address, "settings": config["settings"] | {"discovery": "pushed"}}
             (tmp_path / "config.json").write_text(json.dumps(config))
             it.process.send_signal(signal.SIGHUP)
-            await until(lambda: agent.asked == [None, 1])
+            await wait_until(lambda: agent.asked == [None, 1])
             agent.broken = True
-            agent.tell(one, "draining")
-            await until(lambda: agent.calls > 4)
+            agent.set_state(one, "draining")
+            await wait_until(lambda: agent.calls > 4)
             agent.broken = False
-            await until(lambda: agent.asked[-1] == 2)
+            await wait_until(lambda: agent.asked[-1] == 2)
             config["settings"]["discovery"] = "on_request"
             (tmp_path / "config.json").write_text(json.dumps(config))
             it.process.send_signal(signal.SIGHUP)
-            await until(lambda: it.logged("reloaded") == 2)
+            await wait_until(lambda: it.logged("reloaded") == 2)
             failed = await read_counter(it, "discovery_failed")
             agent.broken = True
-            agent.tell(one, "up")
+            agent.set_state(one, "up")
             while await read_counter(it, "discovery_failed") == failed:
                 pass
             calls = agent.calls
@@ -374,7 +374,7 @@
         async with server:
             discovery.servers, discovery.states, discovery.version = (server,), {server.address: "up"}, 0
             async with discovery, start_relay(tmp_path, discovery) as it:
-                await until(lambda: discovery.calls)
+                await wait_until(lambda: discovery.calls)
                 reader, writer = await open_client(it)
                 for _ in range(20):
                     writer.write(b"M\r\n")
@@ -398,7 +398,7 @@
             server.writers[-1].write(b"half a li")
             async with asyncio.timeout(4):
                 assert await reader.read(-1) == b"MOVE\r\n"
-            await until(lambda: server.ended == 1)
+            await wait_until(lambda: server.ended == 1)
             assert it.logged("unresponsive on 1 of 1")
 
     run(test)
@@ -422,12 +422,12 @@
 
 def test_early_disconnect_cancels_the_attempt(tmp_path: Path) -> None:
     async def test() -> None:
-        server = GateServer(first=b"")
+        server = GateServer(first_answer=b"")
         async with relay_with_servers(tmp_path, server) as (it, _):
             _, writer = await open_client(it, b"c=checkin,d=9000")
-            await until(lambda: server.opened)
+            await wait_until(lambda: server.opened)
             writer.close()
-            await until(lambda: server.ended == 1)
+            await wait_until(lambda: server.ended == 1)
             assert (await it.counters())["left_early"] == 1
 
     run(test)
@@ -437,7 +437,7 @@
     async def test() -> None:
         one, two = GateServer(), GateServer()
         async with relay_with_servers(tmp_path, one, two) as (it, discovery):
-            discovery.tell(two, "draining")
+            discovery.set_state(two, "draining")
             values = f"c=checkin,t=acme,at=s-{two.address},d=1000".encode()
             reader, _ = await open_client(it, values)
             assert await read_line(reader) == b"UP r1\r\n"
@@ -461,7 +461,7 @@
             assert all([await read_line(reader) == b"UP r1\r\n" for reader, _ in clients])
             began = asyncio.get_running_loop().time()
             it.process.terminate()
-            await until(lambda: it.logged("serving -> draining"))
+            await wait_until(lambda: it.logged("serving -> draining"))
             reader, _ = await open_client(it)
             assert (await read_line(reader)).startswith(b"BUSY ")
             # A relay that restarted before this one may not be back: until late, clients are served here.
@@ -471,7 +471,7 @@
             assert await asyncio.gather(*ends) == [b"MOVE\r\n"] * 20
             assert await it.process.wait() == 0
             assert asyncio.get_running_loop().time() - began < 1.9  # deadline 1.2 s and 0.7 s
-            await until(lambda: it.logged("answered_busy=1"))
+            await wait_until(lambda: it.logged("answered_busy=1"))
 
     run(test)
 
@@ -500,7 +500,7 @@
             assert (await read_line(reader)).startswith(b"BUSY ")
             writer.close()
             clients[0][1].close()
-            await until(lambda: server.ended == 1)
+            await wait_until(lambda: server.ended == 1)
             reader, _ = await open_client(it)
             assert await read_line(reader) == b"UP r1\r\n"
 
@@ -532,7 +532,7 @@
                 writer.write(b"M 3\r\n")
                 assert await read_line(reader) == b"re M 3\r\n"
                 writer.close()
-                await until(lambda: server.ended == 1)
+                await wait_until(lambda: server.ended == 1)
             assert len(server.opened) == 1
             assert (await it.counters())["attempt_ok"] == 1
 
@@ -620,12 +620,12 @@
 
     async def test() -> None:
         async with relay_with_servers(tmp_path, GateServer()) as (it, discovery):
-            await until(lambda: discovery.calls)
+            await wait_until(lambda: discovery.calls)
             pid, name = it.process.pid, resource.RLIMIT_NOFILE
             before = resource.prlimit(pid, name)
             resource.prlimit(pid, name, (len(list(Path(f"/proc/{pid}/fd").iterdir())) + 2, before[1]))
             waiting = [await it.open() for _ in range(6)]
-            await until(lambda: it.logged("accept failed"))
+            await wait_until(lambda: it.logged("accept failed"))
             for _, writer in waiting:
                 writer.close()
             resource.prlimit(pid, name, before)
@@ -645,11 +645,11 @@
         async with relay_with_servers(tmp_path, one, two, policyLimits=limits) as (it, _):
             clients = [await open_client(it, b"c=checkin,t=acme,d=1000") for _ in range(30)]
             assert all([await read_line(reader) == b"UP r1\r\n" for reader, _ in clients])
-            await until(lambda: one.probes and two.probes)
+            await wait_until(lambda: one.probes and two.probes)
             moved = [asyncio.ensure_future(r.read(-1)) for r, _ in clients]
             one.pong_after = 0.4
-            await until(lambda: one.ended)
-            await until(lambda: any(m.done() for m in moved))
+            await wait_until(lambda: one.ended)
+            await wait_until(lambda: any(m.done() for m in moved))
             assert {m.result() for m in moved if m.done()} == {b"MOVE\r\n"}
             assert not two.ended
             for m in moved:
@@ -667,21 +667,21 @@
         async with one, two, Discovery(one) as old, Discovery(two) as new, Discovery(one) as last:
             old.version, new.version = 41, 3
             async with start_relay(tmp_path, old, BALANCER_DISCOVERY=old.address) as it:
-                await until(lambda: old.asked[-1:] == [41])
+                await wait_until(lambda: old.asked[-1:] == [41])
                 standing, writer = await open_client(it)
                 assert await read_line(standing) == b"UP r1\r\n"
                 old.broken = True
-                old.tell(one, "up")
-                await until(lambda: old.calls >= 4)  # the back-off grows
+                old.set_state(one, "up")
+                await wait_until(lambda: old.calls >= 4)  # the back-off grows
                 rewrite_discovery(tmp_path, "half an addr")
                 it.process.send_signal(signal.SIGHUP)
-                await until(lambda: it.logged("reload failed, the old values stay"))
+                await wait_until(lambda: it.logged("reload failed, the old values stay"))
                 for discovery, server in ((new, two), (last, one)):
                     rewrite_discovery(tmp_path, discovery.address)
                     began = asyncio.get_running_loop().time()
                     it.process.send_signal(signal.SIGHUP)
                     asked, wanted = discovery.asked, [discovery.version]
-                    await until(lambda asked=asked, wanted=wanted: asked[-1:] == wanted)  # type: ignore[misc]
+                    await wait_until(lambda asked=asked, wanted=wanted: asked[-1:] == wanted)  # type: ignore[misc]
                     assert asyncio.get_running_loop().time() - began < 1
                     assert discovery.asked[0] is None  # the whole list first, then the watch on it
                     reader, _ = await open_client(it)
@@ -710,7 +710,7 @@
     """One word for two notes: a server that says how long its messages take lost its clients before."""
 
     async def test() -> None:
-        slow = GateServer(first=b"UP r1\r\nLOAD 46000\r\n")  # its load comes with UP
+        slow = GateServer(first_answer=b"UP r1\r\nLOAD 46000\r\n")  # its load comes with UP
         async with relay_with_servers(tmp_path, slow) as (it, _):
             kept: list[tuple[Reader, Writer]] = []
             while len(kept) < 41:  # each one is moved with 0.44; on a busy machine set-ups take long: BUSY
--- a/tests/test_list_budget.py
+++ b/tests/test_list_budget.py
@@ -14,7 +14,7 @@
 import pytest
 import uvloop
 from relay_driver import RelayDriver
-from standins import GateServer, Reader, Writer, until
+from standins import GateServer, Reader, Writer, wait_until
 from test_core import monotonic_ms
 from test_watch import Breaking
 
@@ -64,12 +64,12 @@
 
     async def failed(self, times: int) -> float:
         """Wait for so many failed calls; when the last was seen, s of the loop."""
-        await until(lambda: self.counts["discovery_failed"] >= times)
+        await wait_until(lambda: self.counts["discovery_failed"] >= times)
         return asyncio.get_running_loop().time()
 
     async def has_list(self) -> float:
         """Wait for a list; when it was had, s of the loop."""
-        await until(lambda: self.core.endpoints.entries)
+        await wait_until(lambda: self.core.endpoints.entries)
         return asyncio.get_running_loop().time()
 
 
@@ -164,7 +164,7 @@
     discovery.spoil = spoil
     relay = Relay(discovery.address)
     relay.watch.start()
-    await until(lambda: len(discovery.called) >= 2)
+    await wait_until(lambda: len(discovery.called) >= 2)
     return relay
 
 
@@ -172,7 +172,7 @@
     async def test() -> None:
         async with GateServer() as server, Breaking(server) as discovery:
             await relay_with_open_watch(discovery, {1: "silent", 2: "silent"})
-            await until(lambda: len(discovery.called) >= 4)
+            await wait_until(lambda: len(discovery.called) >= 4)
             _, first, second, third = discovery.called[:4]
             assert second - first < UNRESPONSIVE_AFTER_SECONDS + 0.5
             assert third - second < UNRESPONSIVE_AFTER_SECONDS + 0.5
@@ -186,8 +186,8 @@
     async def test() -> None:
         async with GateServer() as server, Breaking(server) as discovery:
             relay = await relay_with_open_watch(discovery, {1: "silent", 2: "cut"})
-            discovery.tell(server, "draining")
-            await until(
+            discovery.set_state(server, "draining")
+            await wait_until(
                 lambda: any(e.state.value == "draining" for e in relay.core.endpoints.entries.values())
             )
             assert asyncio.get_running_loop().time() - discovery.called[1] <= NOTIFICATION_BUDGET_SECONDS
@@ -204,7 +204,7 @@
             relay = await relay_with_open_watch(
                 discovery, {1: "silent"} | dict.fromkeys(range(2, 100), "cut")
             )
-            discovery.tell(server, "draining")  # so that no call waits
+            discovery.set_state(server, "draining")  # so that no call waits
             await relay.failed(3)
             await asyncio.sleep(0.3)
             assert len(discovery.called) == 4
--- a/tests/test_nats.py
+++ b/tests/test_nats.py
@@ -15,7 +15,7 @@
 import nats
 import pytest
 from nats.aio.msg import Msg
-from standins import NatsServer, Reader, Relay, Writer, relay, run, until
+from standins import NatsServer, Reader, Relay, Writer, relay, run, wait_until
 
 CONFIG = """
 listen = "127.0.0.1:0"
@@ -140,15 +140,15 @@
             first, other = (one, two) if one.subs else (two, one)
             for n in range(100):
                 first.publish(b"feed", b"%d" % n)
-            await until(lambda: len(got) == 100)
+            await wait_until(lambda: len(got) == 100)
             first.silent = True
             for n in range(100, 110):  # nobody holds the subscription: these are lost, and only these
                 other.publish(b"feed", b"%d" % n)
-            await until(lambda: any(other.subs.values()))
+            await wait_until(lambda: any(other.subs.values()))
             first.silent = False  # what it may still say must not reach the client
             for n in range(110, 200):
                 other.publish(b"feed", b"%d" % n)
-            await until(lambda: got[b"199"])
+            await wait_until(lambda: got[b"199"])
             assert set(got.values()) == {1}, "duplicates"
             assert {int(n) for n in got} == set(range(100)) | set(range(110, 200))
             assert client.is_connected
@@ -181,8 +181,8 @@
                 writer.publish(f"with-{n}", identity=f"id-{n}")
             writer.publish("plain")
             writer.publish("asks", reply="inbox")
-            await until(lambda: len(first.published) == 32)
-            await until(lambda: len(other.published) == 30)
+            await wait_until(lambda: len(first.published) == 32)
+            await wait_until(lambda: len(other.published) == 30)
             first.mute = False
             lines = [*await writer.flush(), *await writer.flush()]
             assert [line for line in lines if line.startswith((b"HMSG", b"NATS"))] == [
@@ -220,7 +220,7 @@
             for n in range(2):
                 first.publish(b"feed", b"%d" % n)
             assert [await client.line() for _ in range(4)][1::2] == [b"0", b"1"]
-            first.cut()
+            first.abort_connections()
             await client.flush()
             subs = next(s for server in (one, two) for s in server.subs.values() if s)
             assert list(subs.values()) == [[b"feed", b"workers", 1, 0]]
@@ -246,7 +246,7 @@
             client.send(b"SUB feed 1")
             await client.flush()
             first, other = (one, two) if one.subs else (two, one)
-            first.say(b'INFO {"ldm":true}\r\n')
+            first.send_to_all(b'INFO {"ldm":true}\r\n')
             for n in range(40):
                 client.publish(f"m{n}")
                 if n % 10 == 0:
@@ -255,7 +255,7 @@
             assert Counter(line for line in lines if line[:1] in b"md") == Counter(
                 [b"m%d" % n for n in range(40)] + [b"d%d" % n for n in range(0, 40, 10)]
             )
-            await until(lambda: not first.subs and any(other.subs.values()))
+            await wait_until(lambda: not first.subs and any(other.subs.values()))
             assert (await it.counters())["nats_moved"] == 1
 
     run(test)
@@ -287,12 +287,12 @@
             text = path.read_text().replace('["app", ""]', '["else"]')
             path.write_text(text.replace('name = "booking"', 'name = "new"'))
             it.process.send_signal(signal.SIGHUP)
-            await until(lambda: it.logged("reload failed, the old values stay"))
+            await wait_until(lambda: it.logged("reload failed, the old values stay"))
             await (await Client.connect(it, user="app")).flush()
             assert len(one.connects) == 2
             path.write_text(text)
             it.process.send_signal(signal.SIGHUP)
-            await until(lambda: it.logged("changed, but takes a restart: nats"))
+            await wait_until(lambda: it.logged("changed, but takes a restart: nats"))
             await (await Client.connect(it, user="else")).flush()
             denied = await Client.connect(it, user="app")
             assert await denied.line() == b"-ERR 'Authorization Violation'"
@@ -432,7 +432,7 @@
         client.publish("one")
         client.publish("two")
     await client.writer.drain()
-    await until(lambda: any(s.accepted for s in servers))
+    await wait_until(lambda: any(s.accepted for s in servers))
     return client
 
 
@@ -467,7 +467,7 @@
             first.greeting.set()
             second.greeting.set()
             async with asyncio.timeout(10):
-                while (await it.figures())["active"]:
+                while (await it.read_metrics())["active"]:
                     await asyncio.sleep(0.01)
             assert not second.accepted
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from plant import READING_SECONDS, Plant
-from standins import PATIENCE, GateServer, NatsServer, Relay, run
+from standins import TIMEOUT_SECONDS, GateServer, NatsServer, Relay, run
 from test_line import opening_line, read_line
 from test_rules import ruled
 
@@ -346,7 +346,7 @@
             it.process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(1.5)  # the pause itself is what is tested
             it.process.send_signal(signal.SIGCONT)
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 while float((await overload(it))["skipped"]) < 1:
                     await asyncio.sleep(0.02)
             assert await crowd(it, 5, b"c=booking,t=acme,d=2900") == [b"UP r1\r\n"] * 5
@@ -361,12 +361,12 @@
     for number, connection in enumerate(connections):
         assert (await book(*connection, number)).startswith((b"UP", b"BUSY"))
     # One that was BUSY, on a machine that paused, holds nothing.
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while not (it.logged("load calm -> ") or it.logged("load cautious -> ")):
             connections.append(await it.open())
             await book(*connections[-1], len(connections) - 1)
             await asyncio.sleep(0.02)
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while (await overload(it))["level"] not in ("shedding", "severe"):
             connections.append(await it.open())
             await book(*connections[-1], len(connections) - 1)
@@ -384,11 +384,11 @@
 
     async def test() -> None:
         async with ruled(tmp_path, RULES, GateServer(), **(LOAD | {"sockets": 124})) as it:
-            async with asyncio.timeout(3 * PATIENCE):
+            async with asyncio.timeout(3 * TIMEOUT_SECONDS):
                 while not it.logged("by descriptors"):
                     await use_up_descriptors(it)
                     # On a busy machine the level may have risen by another signal first: then once more.
-                    async with asyncio.timeout(PATIENCE):
+                    async with asyncio.timeout(TIMEOUT_SECONDS):
                         while (await overload(it))["level"] != "calm":
                             await asyncio.sleep(0.02)
             assert await crowd(it, 3, b"c=checkin,t=acme,d=900") == [b"UP r1\r\n"] * 3
@@ -402,7 +402,7 @@
     async def test() -> None:
         changed = LOAD | {"overload": {"cores": 1.0, "memory_mb": 8}}
         async with ruled(tmp_path, RULES, GateServer(), **changed) as it:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 while (await overload(it))["level"] not in ("shedding", "severe"):
                     await asyncio.sleep(0.02)
             assert it.logged("by memory")
@@ -419,13 +419,13 @@
             "tenants": [{"name": "x", "class": "checkin", "users": ["*"]}],
         }
         async with ruled(tmp_path, RULES, NatsServer(), **changed) as it:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 while (await overload(it))["level"] not in ("shedding", "severe"):
                     await asyncio.sleep(0.02)
             answers: set[bytes] = set()
             n = 0
             async with asyncio.timeout(
-                PATIENCE
+                TIMEOUT_SECONDS
             ):  # a quick machine has 40 through before the gate's next look
                 while n < 40 or answers == {b"PONG\r\n"}:
                     n += 1
--- a/tests/test_recorded_upgrade.py
+++ b/tests/test_recorded_upgrade.py
@@ -20,7 +20,7 @@
 import msgspec
 import orjson
 import pytest
-from standins import run, until
+from standins import run, wait_until
 
 from violetdoor.balancing.events import LearnedServerState, LearnedState, ServerEntry, ServerState
 from violetdoor.configuration.operator_config import OperatorConfigSource
@@ -186,7 +186,7 @@
         """Talk to the other process, and take no client."""
         await self.upgrade.start()
         try:
-            await until(self.meet.exists)
+            await wait_until(self.meet.exists)
             yield
         finally:
             await self.upgrade.stop()
@@ -372,12 +372,12 @@
             core, acceptor = process.core, process.program.front.acceptor
             assert core.overrides.bans == {"s-0": 41.5, "s-1": 42.5}
             await other.say(lines["ban"])
-            await until(lambda: core.overrides.bans == {"s-0": 41.5, "s-1": 42.5, "s-3": 81.5})
+            await wait_until(lambda: core.overrides.bans == {"s-0": 41.5, "s-1": 42.5, "s-3": 81.5})
             await other.say(lines["lift"])
-            await until(lambda: core.overrides.bans == {"s-0": 41.5, "s-3": 81.5})
+            await wait_until(lambda: core.overrides.bans == {"s-0": 41.5, "s-3": 81.5})
             assert core.overrides.reinstated["s-1"] == (42.5, NOW)
             await other.say(lines["member"])
-            await until(lambda: members)
+            await wait_until(lambda: members)
             assert members == [fleet_state() if front == "line" else control_state()]
             held = orjson.loads(lines["still_held"])["beside"]
             message = {"beside": held | {"descriptors": 91, "memory": 92}}
@@ -385,7 +385,7 @@
                 message["ids"] = orjson.loads(lines["still_held"])["ids"]
                 assert process.line.front.connection_ids.reserve(0x74)
             await other.say(orjson.dumps(message).decode() + "\n")
-            await until(lambda: acceptor.sibling_descriptors == 91)
+            await wait_until(lambda: acceptor.sibling_descriptors == 91)
             assert acceptor.sibling_memory == 92
             server = core.balancer.servers["s-2"]
             assert (server.sibling_load, server.sibling_count) == (127.0, 2)
@@ -394,12 +394,12 @@
             if process.line is not None:
                 assert not process.line.front.connection_ids.reserve(0x73)
             await other.say(lines["config"])
-            await until(lambda: core.settings.max_retry_after_ms == 432.5)
+            await wait_until(lambda: core.settings.max_retry_after_ms == 432.5)
             assert list(core.endpoints.entries) == ["s-file"]  # the list of that file is the one in force now
             await other.say('{"stopped":true}\n')
-            await until(lambda: process.upgrade.handover.is_settled)
+            await wait_until(lambda: process.upgrade.handover.is_settled)
             other.close()
-            await until(lambda: acceptor.sibling_descriptors == 0)
+            await wait_until(lambda: acceptor.sibling_descriptors == 0)
             server = core.balancer.servers["s-file"]
             assert (server.sibling_load, server.sibling_count) == (0.0, 0)
 
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -17,7 +17,7 @@
 
 import orjson
 import pytest
-from standins import Discovery, GateServer, NatsServer, Reader, Relay, Writer, relay, run, until
+from standins import Discovery, GateServer, NatsServer, Reader, Relay, Writer, relay, run, wait_until
 
 from violetdoor.fronts.line.load_report import parse_load_report
 from violetdoor.fronts.line.opening import Opening, parse_opening
@@ -116,7 +116,7 @@
     """Keeps every byte that the program writes, and says LOAD and a farewell when it is told to."""
 
     def __init__(self) -> None:
-        super().__init__(first=b"UP r1\r\nLOAD 4100.5\r\nhello\r\n")
+        super().__init__(first_answer=b"UP r1\r\nLOAD 4100.5\r\nhello\r\n")
         self.probe_lines: set[bytes] = set()
         self.got: list[bytes] = []
 
@@ -127,7 +127,7 @@
             writer.write(b"PONG queue=2,util=0.1\r\n")
             return
         self.got.append(re.sub(rb"\bd=\d+", b"d=LEFT", first))
-        writer.write(self.first)
+        writer.write(self.first_answer)
         while line := await reader.readline():
             self.got.append(line)
             writer.write(b"BYE\r\n" if line == b"end\r\n" else b"re " + line)
@@ -188,10 +188,10 @@
         assert (await it.call(f"PUT /gate-servers/s-{gate.address}/maint"))[0] == 200
         said["moved"] = [line.decode() for line in moved] + [(await reader.read(-1)).decode()]
         writer.close()
-        await until(lambda: gate.got[-1] == b"(end)")
+        await wait_until(lambda: gate.got[-1] == b"(end)")
         said["gate"] = [line.decode() for line in gate.got]
     async with (
-        GateServer(first=b"WHAT\r\n") as gate,
+        GateServer(first_answer=b"WHAT\r\n") as gate,
         Discovery(gate) as discovery,
         line_relay(folder, discovery) as it,
     ):
@@ -202,7 +202,7 @@
         writer.write(ask % 5 + b"\r\n")
         assert await reader.readline() == b"UP r1\r\n"
         it.process.terminate()
-        await until(lambda: it.logged("serving -> draining"))
+        await wait_until(lambda: it.logged("serving -> draining"))
         said["leaving"] = await talk(it, ask % 6 + b"\r\n")
         said["leaving_moved"] = [(await reader.read(-1)).decode()]
         writer.close()
@@ -215,7 +215,7 @@
             line_relay(folder, discovery, **settings) as it,
         ):
             await talk(it, ask % 7 + b"\r\n", b"end\r\n")
-            await until(lambda: gate.probe_lines)
+            await wait_until(lambda: gate.probe_lines)
             said[name] = sorted(line.decode() for line in gate.probe_lines)
     return said
 
@@ -307,9 +307,9 @@
             await client.say(headed, "yo\r\n")
             await client.say(headed + "UNSUB 9\r\nPING\r\n", "PONG\r\n")
             await client.say("SUB a..b 10\r\n", "Subject'\r\n")
-            server.say(b"-ERR 'Permissions Violation for Publish to \"x\"'\r\n")
+            server.send_to_all(b"-ERR 'Permissions Violation for Publish to \"x\"'\r\n")
             await client.say("", '"x"\'\r\n')
-            server.cut()  # what it has is set up again on the next connection
+            server.abort_connections()  # what it has is set up again on the next connection
             await client.say("PING\r\n", "PONG\r\n")
             await client.say("PUB feed.c 3\r\nnew\r\n", "new\r\n")
             server.mute = True
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -15,7 +15,18 @@
 
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from standins import PATIENCE, ROOT, Discovery, GateServer, NatsServer, Relay, Standin, relay, run, until
+from standins import (
+    ROOT,
+    TIMEOUT_SECONDS,
+    Discovery,
+    GateServer,
+    NatsServer,
+    Relay,
+    Standin,
+    relay,
+    run,
+    wait_until,
+)
 from test_line import open_client, read_line, start_relay
 from test_nats import Client
 
@@ -65,11 +76,11 @@
 
 async def reload_rules(it: Relay, tmp_path: Path, rules: str, figure: str = "config_applied") -> None:
     """Change the rules' file, send SIGHUP, wait until a figure tells that it was applied or rejected."""
-    before = (await it.figures())[figure]
+    before = (await it.read_metrics())[figure]
     (tmp_path / "club.rules").write_text(rules)
     it.process.send_signal(signal.SIGHUP)
-    async with asyncio.timeout(PATIENCE):
-        while (await it.figures())[figure] == before:
+    async with asyncio.timeout(TIMEOUT_SECONDS):
+        while (await it.read_metrics())[figure] == before:
             await asyncio.sleep(0.01)
 
 
@@ -115,7 +126,7 @@
             await odd.flush()
             assert await hits(it) == {"old": 1, "subject": 2, "header": 1, "user": 1, "default": 1,
                                       "label by=subject": 2, "pool fast": 1}  # fmt: skip
-            figures = await it.figures()
+            figures = await it.read_metrics()
             assert figures["ok.booking"] == 4
             assert figures["ok.checkin"] == 1
             assert (await it.counters())["ruled_out"] == 1
@@ -144,7 +155,7 @@
             assert server.opened[0].endswith(
                 b"c=any,t=acme,vip=1,g=5c0f,d=" + server.opened[0].rpartition(b"=")[2]
             )
-            figures = await it.figures()
+            figures = await it.read_metrics()
             assert figures["ok.booking"] == 1
             assert figures["ok.checkin"] == 2
             counts = await it.counters()
@@ -164,10 +175,10 @@
         return f'{many}rule "all" when open.tenant == "acme" {{ class = "{cls}"; }}\n{extra}default {{}}\n'
 
     async def test() -> None:
-        server = GateServer(first=b"")
+        server = GateServer(first_answer=b"")
         async with ruled(tmp_path, rules("booking"), server, front="line") as it:
             waiting = [await open_client(it, b"c=checkin,t=acme,d=9000") for _ in range(200)]
-            await until(lambda: len(server.opened) > 0)
+            await wait_until(lambda: len(server.opened) > 0)
             while await hits(it) != {"all": 200}:
                 await asyncio.sleep(0.01)
             for bad in (rules("nosuch"), rules("booking", "rule x {\n"), 'rule "r" when open.tenant', ""):
@@ -176,16 +187,16 @@
             assert await hits(it) == {"all": 200}
             await reload_rules(it, tmp_path, rules("checkin"))
             assert await hits(it) == {}
-            server.first = b"UP r1\r\n"
+            server.first_answer = b"UP r1\r\n"
             later, _ = await open_client(it, b"c=booking,t=acme,d=900")
             assert await read_line(later) == b"UP r1\r\n"
-            figures = await it.figures()
+            figures = await it.read_metrics()
             assert figures["ok.checkin"] == 1
             assert figures["tries.checkin"] >= 1
             for writer in server.writers:
                 writer.write(b"UP r1\r\n")
             answers = await asyncio.gather(*(read_line(reader) for reader, _ in waiting))
-            figures = await it.figures()
+            figures = await it.read_metrics()
             assert len(answers) == 200
             assert figures["ok.checkin"] == 1
             assert figures["ok.booking"] + figures["shed.booking"] + figures["errors.booking"] == 200
@@ -206,14 +217,14 @@
             (tmp_path / "club.rules").write_text("broken")
             async with relay("--config", str(tmp_path / "relay.json"), TMPDIR=str(tmp_path)) as new:
                 assert new.logged("took over from the predecessor")
-                await new.healthy()  # until then the old one may take the client
+                await new.wait_for_health()  # until then the old one may take the client
                 client = await Client.connect(new, user="app")
                 await client.flush()
                 assert await hits(new) == {"known": 1}
                 await reload_rules(
                     old, tmp_path, 'rule "new" when connect.user == "app" { class = "booking"; }\ndefault {}'
                 )
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TIMEOUT_SECONDS):
                     while "hits known" in (await new.call("GET /rules"))[1]:
                         await asyncio.sleep(0.01)
                 client = await Client.connect(new, user="app")
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from standins import Discovery, GateServer, Reader, Writer, run, until
+from standins import Discovery, GateServer, Reader, Writer, run, wait_until
 from test_line import SETTINGS, open_client, read_counter, read_line, start_relay
 
 PATIENT = {"rules": {"askWithin": 40_000.0}}  # by itself the module would ask again after a second or later
@@ -71,10 +71,10 @@
             async with start_relay(
                 tmp_path, discovery, settings=SETTINGS | PATIENT | {"discovery": mode}
             ) as it:
-                await until(lambda: discovery.calls == 2)
-                discovery.tell(gone, "draining")
+                await wait_until(lambda: discovery.calls == 2)
+                discovery.set_state(gone, "draining")
                 async with asyncio.timeout(8):
-                    await until(lambda: discovery.calls >= 3)
+                    await wait_until(lambda: discovery.calls >= 3)
                 first, silent, anew = discovery.called[:3]
                 assert anew - silent < 5.5, (first, silent, anew)
                 while await read_counter(it, "discovery_changes") < 4:  # the two lists, of two servers each
@@ -95,10 +95,10 @@
             discovery.fresh, discovery.spoil = True, dict.fromkeys(range(6), "closes")
             async with start_relay(tmp_path, discovery, settings=SETTINGS | PATIENT):
                 for calls in range(1, 7):
-                    await until(lambda calls=calls: discovery.calls >= calls)  # type: ignore[misc]
+                    await wait_until(lambda calls=calls: discovery.calls >= calls)  # type: ignore[misc]
                     told = asyncio.get_running_loop().time()
-                    discovery.tell(server, "up")
-                    await until(lambda calls=calls: discovery.calls > calls)  # type: ignore[misc]
+                    discovery.set_state(server, "up")
+                    await wait_until(lambda calls=calls: discovery.calls > calls)  # type: ignore[misc]
                     assert discovery.called[calls] - told < 0.2  # else it is no watch that goes on
 
     run(test)
@@ -112,7 +112,7 @@
             discovery.fresh, discovery.spoil = True, {0: way}
             async with start_relay(tmp_path, discovery) as it:
                 async with asyncio.timeout(5):
-                    await until(lambda: discovery.calls >= 2)
+                    await wait_until(lambda: discovery.calls >= 2)
                 assert (
                     discovery.called[1] - discovery.called[0] < 2.0 + 0.5
                 )  # the whole wait, and the back-off
@@ -139,7 +139,7 @@
         async with server, other, Breaking() as discovery, start_relay(tmp_path, discovery) as it:
             discovery.entries = [WRONG[wrong], WRONG[wrong]]
             discovery.form = {"indent": 2}
-            discovery.tell(server, "up")
+            discovery.set_state(server, "up")
             while not await read_counter(it, "discovery_wrong_entries"):
                 await asyncio.sleep(0.01)
             for _ in range(5):
@@ -159,8 +159,8 @@
             Breaking(spoilt, sound) as discovery,
             start_relay(tmp_path, discovery) as it,
         ):
-            await until(lambda: discovery.calls == 2)
-            discovery.tell(spoilt, "up and down")
+            await wait_until(lambda: discovery.calls == 2)
+            discovery.set_state(spoilt, "up and down")
             while not await read_counter(it, "discovery_wrong_entries"):
                 await asyncio.sleep(0.01)
             for _ in range(20):
