--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -132,7 +132,7 @@
     from_toml, from_json = load_operator_config(toml), load_operator_config(text)
     assert from_toml.settings == from_json.settings
     assert from_toml.nats == from_json.nats
-    assert from_toml.known_servers == from_json.known_servers
+    assert from_toml.initial_server_list == from_json.initial_server_list
     assert from_toml.deadlines == from_json.deadlines
 
 
--- a/violetdoor/configuration/errors.py
+++ b/violetdoor/configuration/errors.py
@@ -42,7 +42,7 @@
         self.table = table
 
 
-class FixedChange(Enum):
+class RestartRequiredChange(Enum):
     """A difference of two configurations that a running process can't make; the values stand in the error."""
 
     FRONT = "another front"
@@ -53,7 +53,7 @@
 class RestartRequiredError(ConfigError):
     """A configuration is sound and can't come into force in this process."""
 
-    def __init__(self, change: FixedChange) -> None:
+    def __init__(self, change: RestartRequiredChange) -> None:
         """`change` is the one that takes a restart."""
         super().__init__(f"{change.value} takes a restart")
         self.change = change
--- a/violetdoor/configuration/operator_config.py
+++ b/violetdoor/configuration/operator_config.py
@@ -113,7 +113,7 @@
         discovery=parse_address(form.discovery) if form.discovery else None,
         seed=random.SystemRandom().getrandbits(SEED_BITS),
         settings=_balancer_settings(form),
-        known_servers=_server_list(form),
+        initial_server_list=_server_list(form),
         max_sockets=form.max_sockets,
         line=_line_options(form),
         reports_message_delay=True,
--- a/violetdoor/configuration/platform_config.py
+++ b/violetdoor/configuration/platform_config.py
@@ -123,7 +123,7 @@
         discovery=parse_address(discovery or data["discovery"]),
         seed=int(str(form.seed), SEED_BASE),
         settings=settings,
-        known_servers=form.known or {},
+        initial_server_list=form.known or {},
         max_sockets=form.limits.sockets,
         line=_line_options(facts),
         reports_message_delay=bool(facts.family_info.reports_delay),
--- a/violetdoor/configuration/relay_config.py
+++ b/violetdoor/configuration/relay_config.py
@@ -38,10 +38,10 @@
 
     name: str
     listen: Address
-    discovery: Address | None  # none: `known_servers` is all there is
+    discovery: Address | None  # None: `initial_server_list` is the whole fixed list
     seed: int
     settings: BalancerSettings
-    known_servers: RawTable  # a list of servers in discovery's form
+    initial_server_list: RawTable  # a list of servers in discovery's form
     max_sockets: int
     line: LineOptions  # of the line front; the classes' deadlines are every front's
     reports_message_delay: bool  # clients report how late messages are
--- a/violetdoor/net/server_list_service.py
+++ b/violetdoor/net/server_list_service.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 
 from violetdoor.balancing.events import ServerListKind
-from violetdoor.configuration.errors import FixedChange, RestartRequiredError
+from violetdoor.configuration.errors import RestartRequiredChange, RestartRequiredError
 from violetdoor.configuration.relay_config import Config
 from violetdoor.net.server_list_watch import ServerListWatch
 from violetdoor.services import Service, ServiceHost
@@ -37,7 +37,7 @@
             self._take_over(host.predecessor_state)
         else:
             kind = ServerListKind.COMPLETE if self.watch is None else ServerListKind.CACHED
-            self.core.update_server_list(self.directory.apply_list(config.known_servers, kind))
+            self.core.update_server_list(self.directory.apply_list(config.initial_server_list, kind))
         if self.watch is not None:
             self.watch.set_pushed(is_pushed=not config.settings.polls_server_list)
 
@@ -59,7 +59,7 @@
     def check_config(self, new: Config) -> None:
         """Raise RestartRequiredError where the list would come from elsewhere."""
         if (new.discovery is None) != (self.watch is None):
-            raise RestartRequiredError(FixedChange.SERVER_LIST_ORIGIN)
+            raise RestartRequiredError(RestartRequiredChange.SERVER_LIST_ORIGIN)
 
     def apply_config(self, new: Config) -> None:
         """Switch to another address of discovery, or apply the configured list."""
@@ -69,7 +69,7 @@
             self.watch.set_pushed(is_pushed=not new.settings.polls_server_list)
         else:
             self.core.update_server_list(
-                self.directory.apply_list(new.known_servers, ServerListKind.COMPLETE)
+                self.directory.apply_list(new.initial_server_list, ServerListKind.COMPLETE)
             )
 
     def gauges(self) -> Mapping[str, Callable[[], int]]:
--- a/violetdoor/reloading.py
+++ b/violetdoor/reloading.py
@@ -10,7 +10,7 @@
 import logging
 
 from violetdoor.configuration.completeness import check_complete
-from violetdoor.configuration.errors import ConfigError, FixedChange, RestartRequiredError
+from violetdoor.configuration.errors import ConfigError, RestartRequiredChange, RestartRequiredError
 from violetdoor.configuration.relay_config import Config
 from violetdoor.configuration.sources import ConfigSource
 from violetdoor.services import ServiceHost
@@ -57,9 +57,9 @@
         """Raise ConfigError where a configuration can't come into force without a restart."""
         current = self.host.config
         if new.front != current.front:
-            raise RestartRequiredError(FixedChange.FRONT)
+            raise RestartRequiredError(RestartRequiredChange.FRONT)
         if current.rules is None and new.rules is not None:
-            raise RestartRequiredError(FixedChange.RULES_PRESENCE)
+            raise RestartRequiredError(RestartRequiredChange.RULES_PRESENCE)
         for service in self.host.services:
             service.check_config(new)
 
--- a/violetdoor/rules/service.py
+++ b/violetdoor/rules/service.py
@@ -5,7 +5,7 @@
 import logging
 from http import HTTPStatus
 
-from violetdoor.configuration.errors import ConfigError, FixedChange, RestartRequiredError
+from violetdoor.configuration.errors import ConfigError, RestartRequiredChange, RestartRequiredError
 from violetdoor.configuration.relay_config import Config
 from violetdoor.console.server import Answer
 from violetdoor.rules.active_rules import ActiveRules
@@ -44,7 +44,7 @@
     def check_config(self, new: Config) -> None:
         """Raise RestartRequiredError if a configuration has no rules."""
         if new.rules is None:
-            raise RestartRequiredError(FixedChange.RULES_PRESENCE)
+            raise RestartRequiredError(RestartRequiredChange.RULES_PRESENCE)
 
     def needs_preparation(self, new: Config, *, from_peer: bool) -> bool:
         """Whether rules are to be compiled: at every SIGHUP, which reads the files of sets again, too."""
