--- a/violetdoor/fleet/founding.py
+++ b/violetdoor/fleet/founding.py
@@ -169,7 +169,7 @@
     ) -> None:
         """Start an attempt to found an epoch whose members are these peers, this relay and the candidates.
 
-        Above MAX_MEMBERS voters are admitted first.
+        If these are more than MAX_MEMBERS, voters take precedence.
         """
         context = self.context
         members = {context.config.name: context.local_peer}
--- a/violetdoor/fleet/lease.py
+++ b/violetdoor/fleet/lease.py
@@ -63,11 +63,11 @@
         self.frozen = False  # this relay has accepted a successor of the view, and joins no more rounds
         self.round_number = 0
         self.starter = NO_STARTER
-        self.joined = 0
-        self.joined_previous = 0
+        self.joined = 0  # bitmap of the members known to have joined the current round
+        self.joined_previous = 0  # bitmap of those that the starter knew to have joined the previous round
         self.joined_at: dict[int, float] = {}  # when this relay joined the last two rounds, by round number
         self.round_observed_at = -math.inf  # when this relay started the current round or learned of it
-        self.round_completed_at = -math.inf
+        self.round_completed_at = -math.inf  # when this relay learned that a majority had joined it
         self.has_update = False  # whether the round has changed in a way that others should receive soon
         self.starter_delay = 0.0  # additional delay in s before this relay starts a round
         # The last result of `current_round`, and the values that it was computed from.
--- a/violetdoor/fleet/membership.py
+++ b/violetdoor/fleet/membership.py
@@ -56,7 +56,7 @@
     def recover(self, state: DurableState, now: float) -> None:
         """Continue as an acceptor in the view of the durable state, and request to rejoin.
 
-        This relay is no member there any more, as its instance in that view has ended.
+        This relay is not a member yet, as its instance in that view has ended.
         """
         context = self.context
         view = state.view
