--- a/benchmarks/match.py
+++ b/benchmarks/match.py
@@ -17,7 +17,7 @@
 from violetdoor.fronts.nats.fields import SCHEMA
 from violetdoor.match.faults import RulesError
 from violetdoor.match.load import Loaded, Loader
-from violetdoor.match.runtime import Nets, RuleSet
+from violetdoor.match.runtime import PrefixTable, RuleSet
 
 PAGE = Path(__file__).parent.parent / "docs" / "measurements" / "match.md"
 LIMIT_US = 250.0
@@ -81,10 +81,10 @@
         "| --- | --- | --- | --- | --- |",
     ]
     for count in (10, 50, 100, 1000, 10_000):
-        ready = load(rules_text(count)).ready()
+        ready = load(rules_text(count)).build()
         rng = random.Random(count)
         p50, p99, most = figures(ready, [some_request(rng, count) for _ in range(CALLS)])
-        lines.append(f"| {count} | {p50:.2f} | {p99:.2f} | {most:.0f} | {ready.cost / 1000:.0f} |")
+        lines.append(f"| {count} | {p50:.2f} | {p99:.2f} | {most:.0f} | {ready.cost_ns / 1000:.0f} |")
     return lines
 
 
@@ -160,14 +160,14 @@
         for _ in range(12):  # add what still fits
             tried += 1
             try:
-                found = load(as_set([*terms, extra := some_term(rng)]), LIMIT_US).ready()
+                found = load(as_set([*terms, extra := some_term(rng)]), LIMIT_US).build()
             except RulesError:
                 continue
             terms.append(extra)
             accepted += 1
         if found is None:
             continue
-        ready = load(as_set(terms), LIMIT_US).ready()
+        ready = load(as_set(terms), LIMIT_US).build()
         p99 = min(quantile(singles(ready.decide, requests), 0.99) for _ in range(2)) / 1000  # type: ignore[arg-type]
         if best is None or p99 > best[0]:
             best = p99, terms, ready
@@ -177,7 +177,7 @@
     return [
         f"{tried} sets tried in {seconds:.0f} s, {accepted} accepted under {LIMIT_US:g} us. The slowest found, on 4,000 "
         f"new requests made to take long: p50 {p50:.1f} us, **p99 {p99:.1f} us**, max {most:.0f} us; by the price table "
-        f"{best[2].cost / 1000:.1f} us. Its {len(best[1])} rules:",
+        f"{best[2].cost_ns / 1000:.1f} us. Its {len(best[1])} rules:",
         "",
         *(f"    {term}" for term in best[1]),
     ]
@@ -194,7 +194,7 @@
             members.append(
                 ((rng.getrandbits(length) << (bits - length)).to_bytes(family, "big"), length, True)
             )
-        nets, began = Nets(), time.perf_counter()
+        nets, began = PrefixTable(), time.perf_counter()
         for _ in nets.fill(members):
             pass
         built = time.perf_counter() - began
@@ -222,7 +222,7 @@
         "rules = RuleSet(data); del data\n"
         "for _ in rules.install():\n"
         "    now = time.perf_counter(); longest = max(longest, now - last); last = now\n"
-        "print(time.perf_counter() - began, longest, rss_kib() - before, len(rules.names))\n"
+        "print(time.perf_counter() - began, longest, rss_kib() - before, len(rules.rule_names))\n"
     )
     import marshal
 
@@ -267,7 +267,7 @@
                   "lang": celtypes.StringType("go"), "port": celtypes.IntType(4000)}  # fmt: skip
     lines = ["| expression | ours us | cel-python us | ratio |", "| --- | --- | --- | --- |"]
     for ours, cel in PAIRS:
-        ready = load(f'rule "r" when {ours} {{ tenant = "x"; }}\ndefault {{ }}').ready()
+        ready = load(f'rule "r" when {ours} {{ tenant = "x"; }}\ndefault {{ }}').build()
         environment = celpy.Environment()
         program = environment.program(environment.compile(cel))
         assert ready.decide(request).rule == "r" and bool(program.evaluate(activation))
--- a/benchmarks/match_prices.py
+++ b/benchmarks/match_prices.py
@@ -15,8 +15,8 @@
 import orjson
 
 from benchmarks.machine import batches, described, quantile, singles
-from violetdoor.match.prices import TABLE, contains_steps
-from violetdoor.match.runtime import ENVIRONMENT, Nets, RuleSet, compiled_pattern
+from violetdoor.match.prices import PRICE_TABLE_PATH, contains_steps
+from violetdoor.match.runtime import ENVIRONMENT, PrefixTable, RuleSet, compile_pattern
 
 MARGIN = 1.3  # over the 90 % quantile: the cache is colder in service
 ROUNDS = 30
@@ -75,12 +75,12 @@
 
     The longest of 30 counts: most of these times are states built for the first time, and those come in bursts.
     """
-    one = compiled_pattern("a")
+    one = compile_pattern("a")
     base = quantile(batches(lambda: one.search(b"a") is not None, 1000, ROUNDS), 0.9)
     each, rng = 0.0, random.Random(1)
     for k in (4, 10, 16, 40):
         for source in (f"(a|b)*a(a|b){{{k}}}c", f"(x+x+)+{'y' * k}", f"([ab]*[abc]*){{{min(k, 20)}}}d"):
-            program = compiled_pattern(source)
+            program = compile_pattern(source)
             for n in (256, 1024, 4096):
                 tried: list[object] = [bytes(rng.choices(b"abx", (8, 8, 1), k=n)) for _ in range(30)]
                 taken = [t - base for t in singles(lambda t: program.search(t), tried)]  # noqa: B023
@@ -91,7 +91,7 @@
 def networks() -> Measured:
     """Addresses all over a set of 100,000 prefixes: most look-ups miss the processor's caches."""
     rng = random.Random(2)
-    nets = Nets()
+    nets = PrefixTable()
     members = []
     for _ in range(100_000):
         length = rng.randint(8, 32)
@@ -121,7 +121,7 @@
             "code": [marshal.dumps(compile(code, "x", "exec"))], "rules": [("w", ("x",))] * rules,
             "default": out or ("default",),
         }  # fmt: skip
-        ready = RuleSet(data).ready()
+        ready = RuleSet(data).build()
         return quantile(batches(lambda: ready.decide(()), 1000, ROUNDS), 0.9)
 
     empty, many = ns(0), ns(100)
@@ -172,7 +172,7 @@
     )
     print(text.decode(), end="")
     if "--write" in sys.argv[1:]:
-        TABLE.write_bytes(text)
+        PRICE_TABLE_PATH.write_bytes(text)
     return 0
 
 
--- a/tests/interpreter.py
+++ b/tests/interpreter.py
@@ -9,7 +9,7 @@
 import xxhash
 
 from violetdoor.match import tree
-from violetdoor.match.types import packed, written
+from violetdoor.match.types import format_address, pack_address
 
 
 class Overflow(Exception):
@@ -147,9 +147,9 @@
                     return float(a[0])
                 return float(a[0]) if re.fullmatch(r"[+-]?[0-9]{1,19}(\.[0-9]{1,19})?", a[0]) else None
             case "address":
-                return packed(a[0])
+                return pack_address(a[0])
             case "text":
-                return written(a[0]) if isinstance(a[0], bytes) else str(a[0])
+                return format_address(a[0]) if isinstance(a[0], bytes) else str(a[0])
             case "min" | "max":
                 return (min if op == "min" else max)(a)
         raise TypeError(op)
--- a/tests/test_match.py
+++ b/tests/test_match.py
@@ -21,10 +21,10 @@
 from violetdoor.match.typed import Typed
 
 SCHEMA = t.Schema("test", {
-    "s": t.Field(t.STRING, size=24), "os": t.Field(t.optional(t.STRING), size=24),
+    "s": t.Field(t.STRING, max_bytes=24), "os": t.Field(t.optional(t.STRING), max_bytes=24),
     "n": t.Field(t.INT), "small": t.Field(t.INT, low=-9, high=9), "x": t.Field(t.FLOAT, low=-1e6, high=1e6),
     "d": t.Field(t.DURATION, low=0, high=10**12), "b": t.Field(t.BOOL), "ip": t.Field(t.ADDRESS),
-    "m": t.Field(t.map_of(t.STRING), size=24, most=4), "z": t.Field(t.SIZE, low=0, high=1 << 40),
+    "m": t.Field(t.map_of(t.STRING), max_bytes=24, max_entries=4), "z": t.Field(t.SIZE, low=0, high=1 << 40),
 })  # fmt: skip
 TOP = 'set words = strings { "a", "ab", "b.c" };\nset nets = prefixes { "10.0.0.0/8", "10.1.0.0/16", "fd00::/8" };\n'
 
@@ -40,7 +40,7 @@
 
 
 def holds(condition: str, **values: Any) -> bool:
-    rules = load(f'{TOP}rule "it" when {condition} {{ class = "yes"; }}\ndefault {{ class = "no"; }}').ready()
+    rules = load(f'{TOP}rule "it" when {condition} {{ class = "yes"; }}\ndefault {{ class = "no"; }}').build()
     return rules.decide(request(**values)).cls == "yes"
 
 
@@ -153,17 +153,17 @@
 
 
 def test_an_expression_that_kills_backtracking_engines_is_linear() -> None:
-    rules = load('rule "r" when s matches "(x+x+)+y" { key = 1; }\ndefault {}').ready()
+    rules = load('rule "r" when s matches "(x+x+)+y" { key = 1; }\ndefault {}').build()
     assert rules.decide(request(s="x" * 24)).rule == "default"
 
 
 def test_a_rule_that_fails_gets_the_default_and_is_counted() -> None:
-    rules = load('rule "r" when n * n > 5 { tenant = "big"; }\ndefault { tenant = "none"; }').ready()
+    rules = load('rule "r" when n * n > 5 { tenant = "big"; }\ndefault { tenant = "none"; }').build()
     assert rules.decide(request(n=1 << 40)) == Verdict("default", tenant="none")
-    assert rules.failed == 1
+    assert rules.failure_count == 1
     assert "'r': OverflowError" in rules.last_failure
     assert rules.decide(request(n=3)).tenant == "big"
-    assert rules.failed == 1
+    assert rules.failure_count == 1
 
 
 def test_rules_are_looked_up_and_the_first_still_wins() -> None:
@@ -184,7 +184,7 @@
     rules = "".join(f'rule "r{n}" when {part} {{ key = {n}; }}\n' for n, part in enumerate(parts))
     looked = load(nets + rules + "default {}")
     assert {g[0] for g in looked.data["groups"]} == {"value", "prefix", "net"}
-    ready = looked.ready()
+    ready = looked.build()
     faults = Faults("x", nets + rules + "default {}")
     source, _ = sorted_out(parse(faults.text, faults))
     sets = {s.name: tuple(map(prefix_of, s.members)) for s in source.sets}
@@ -201,7 +201,7 @@
 
 def prefix_of(member: tuple[str, Any]) -> tuple[bytes, int]:
     text, _, length = member[0].partition("/")
-    address = t.packed(text)
+    address = t.pack_address(text)
     assert address is not None
     return address, int(length)
 
@@ -214,10 +214,10 @@
         for n in (rng.randint(6, 30) for _ in range(100_000))
     ]
     files = {"a.txt": nets[:60_000], "b.txt": nets[40_000:]}
-    texts = {name: "".join(f"{t.written(a)}/{n}\n" for a, n in held) for name, held in files.items()}
+    texts = {name: "".join(f"{t.format_address(a)}/{n}\n" for a, n in held) for name, held in files.items()}
     rules = load('set one = prefixes from "a.txt";\nset two = prefixes from "b.txt";\n'
                  'rule "both" when ip in one and ip in two {}\nrule "a" when ip in one {}\ndefault {}',
-                 read=texts.__getitem__).ready()  # fmt: skip
+                 read=texts.__getitem__).build()  # fmt: skip
     held = {name: {n: {int.from_bytes(a, "big") >> (32 - n) for a, m in pairs if m == n} for n in range(6, 31)}
             for name, pairs in files.items()}  # fmt: skip
     for _ in range(2000):
@@ -338,7 +338,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setitem(runtime.ENVIRONMENT, "probe", probe)
-        rules = loaded.ready()
+        rules = loaded.build()
         faults = Faults("x", text)
         source, _ = sorted_out(parse(text, faults))
         sets = {"words": {"a", "ab", "b.c"}, "nets": tuple(map(prefix_of, source.sets[1].members))}
@@ -346,13 +346,13 @@
             plain = Interpreter(dict(values), sets, {})
             rule = source.rules[0]
             assert rule.when is not None
-            failed, spent = rules.failed, 0.0
+            failed, spent = rules.failure_count, 0.0
             found = rules.decide(request(**values))
             try:
                 tenant = plain.value(rule.outputs[0].value, {}) if plain.value(rule.when, {}) else "none"
             except Overflow:
                 continue  # the order of terms is the compiler's, so it may answer before it meets the overflow
-            if rules.failed == failed:
+            if rules.failure_count == failed:
                 assert found.tenant == tenant
             assert spent <= loaded.data["cost"]
 
@@ -369,7 +369,7 @@
         faults = Faults("f", source)
         parse_expression(source, faults)
         try:
-            assert isinstance(load(source).ready(), RuleSet)
+            assert isinstance(load(source).build(), RuleSet)
         except RulesError as err:
             assert all(f.line >= 1 and f.column >= 1 and f.expected for f in err.faults)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -312,8 +312,8 @@
             if isinstance(value, str)
             else []
         )
-        assert all(len(v.encode()) <= field.size for v in held)
-        assert not isinstance(value, dict) or len(value) <= field.most
+        assert all(len(v.encode()) <= field.max_bytes for v in held)
+        assert not isinstance(value, dict) or len(value) <= field.max_entries
 
 
 def test_examples_of_the_reference_page_are_true() -> None:
@@ -330,7 +330,7 @@
         text = f'rule "r" when ({plain[0]}) == ({plain[1]}) {{}}\ndefault {{}}'
         if plain[1] in ("true", "false"):
             text = f'rule "r" when {"" if plain[1] == "true" else "not "}({plain[0]}) and peer.port >= 0 {{}}\ndefault {{}}'
-        rules = Loader(schema_of("line"), limit_us=1e6).load(text).ready()
+        rules = Loader(schema_of("line"), limit_us=1e6).load(text).build()
         request = [bytes([10, 1, 2, 3]), 4000, "9b1f", "7f3a", "booking", "acme.north", None, 12.5, 2_000_000, False, True,
                    {"site": "muscat-7"}]  # fmt: skip
         assert rules.decide(tuple(request)).rule == "r", expression
--- a/violetdoor/cli/rules.py
+++ b/violetdoor/cli/rules.py
@@ -84,7 +84,7 @@
 
 
 def _source_of_rules_file(path: Path, front: str | None) -> RulesSource:
-    from violetdoor.match.load import LIMIT_US
+    from violetdoor.match.load import DEFAULT_LIMIT_US
     from violetdoor.rules.source import RulesSource
 
     try:
@@ -97,7 +97,7 @@
         file=str(path),
         folder=str(path.parent),
         classes=(),
-        limit_us=LIMIT_US,
+        limit_us=DEFAULT_LIMIT_US,
     )
 
 
@@ -143,38 +143,40 @@
 
 def _read_request(request_text: str, loaded: Loaded) -> Request:
     """Return the request that JSON or @FILE holds; exit with status 2 where it doesn't read."""
-    from violetdoor.match.values import RequestError, request_from
+    from violetdoor.match.values import RequestError, parse_request
 
     try:
         text = Path(request_text[1:]).read_text() if request_text.startswith("@") else request_text
-        return request_from(orjson.loads(text), loaded.checker.schema)
+        return parse_request(orjson.loads(text), loaded.checker.schema)
     except (OSError, orjson.JSONDecodeError, RequestError) as error:
         fail(f"request: {_reason(error)}")
 
 
 def _explanation_json(explanation: Explanation) -> str:
-    from violetdoor.match.cases import said
+    from violetdoor.match.cases import verdict_fields
 
     fields: dict[str, Any] = {
-        "verdict": said(explanation.verdict),
+        "verdict": verdict_fields(explanation.verdict),
         "steps": explanation.steps,
         "cost_us": explanation.cost_us,
-        "tested": explanation.tested,
+        "tested": explanation.tested_rules,
         "failure": explanation.failure,
     }
     return orjson.dumps(fields).decode()
 
 
 def _print_explanation(explanation: Explanation) -> None:
-    from violetdoor.match.cases import said
+    from violetdoor.match.cases import verdict_fields
 
     for step in explanation.steps:
         click.echo(_step_line(step))
     if explanation.failure:
         click.echo(f"a rule failed: {explanation.failure}")
-    verdict = {name: value for name, value in said(explanation.verdict).items() if value not in (None, {})}
+    verdict = {
+        name: value for name, value in verdict_fields(explanation.verdict).items() if value not in (None, {})
+    }
     click.echo("verdict: " + ", ".join(f"{name} {value!r}" for name, value in verdict.items()))
-    tested = f"{explanation.tested} rules tested one by one"
+    tested = f"{explanation.tested_rules} rules tested one by one"
     click.echo(f"{tested}; the whole set costs up to {explanation.cost_us:.1f} us")
 
 
@@ -192,7 +194,7 @@
 @FRONT
 def rules_test(path: Path, cases_path: Path, front: str | None) -> int:
     """Run the cases of a TOML or JSON file against rules; status 1 if one of them differs."""
-    from violetdoor.match.cases import run
+    from violetdoor.match.cases import run_cases
 
     loaded = _load_rules(path, front)
     try:
@@ -201,7 +203,7 @@
         fail(str(error))
     except msgspec.ValidationError as error:
         fail(f"{cases_path}: {error}")
-    outcomes = list(run(loaded.ready(), loaded.checker.schema, cases))
+    outcomes = list(run_cases(loaded.build(), loaded.checker.schema, cases))
     for outcome in outcomes:
         for difference in outcome.differences:
             click.echo(f"{outcome.name}: {difference}")
@@ -211,9 +213,9 @@
 
 
 def _read_cases(path: Path) -> Cases:
-    from violetdoor.match.cases import read
+    from violetdoor.match.cases import parse_cases
 
-    return read(read_table(path))
+    return parse_cases(read_table(path))
 
 
 @rules_group.command("bench", epilog=STATUS)
@@ -223,17 +225,17 @@
 @click.option("--rounds", type=click.IntRange(1, 1_000_000), default=2000, show_default=True)
 def rules_bench(path: Path, cases_path: Path, front: str | None, rounds: int) -> int:
     """Measure how long the rules take to decide the requests of a file of cases."""
-    from violetdoor.match.values import RequestError, request_from
+    from violetdoor.match.values import RequestError, parse_request
 
     loaded = _load_rules(path, front)
     try:
         cases = _read_cases(cases_path).cases
-        requests = [request_from(case.request, loaded.checker.schema) for case in cases]
+        requests = [parse_request(case.request, loaded.checker.schema) for case in cases]
     except (ConfigError, msgspec.ValidationError, RequestError) as error:
         fail(f"{cases_path}: {error}")
     if not requests:
         fail(f"{cases_path}: expected at least one case")
-    rules = loaded.ready()
+    rules = loaded.build()
     durations_us = [duration / NS_PER_US for duration in _decision_durations_ns(rules, requests, rounds)]
     durations_us.sort()
     count = len(durations_us)
@@ -241,7 +243,7 @@
     p99_us = durations_us[count * 99 // 100]
     click.echo(
         f"{count} decisions: p50 {p50_us:.2f} us, p99 {p99_us:.2f} us, max {durations_us[-1]:.2f} us; "
-        f"by the price table up to {rules.cost / NS_PER_US:.2f} us"
+        f"by the price table up to {rules.cost_ns / NS_PER_US:.2f} us"
     )
     return 0
 
--- a/violetdoor/fronts/line/fields.py
+++ b/violetdoor/fronts/line/fields.py
@@ -14,10 +14,10 @@
     STRING,
     Field,
     Schema,
-    fitting,
+    bounded_text,
     map_of,
     optional,
-    packed,
+    pack_address,
 )
 
 MAX_NAME_BYTES = 256  # a longer name counts as missing
@@ -33,19 +33,22 @@
 SCHEMA = Schema(
     "line",
     {
-        "peer.address": Field(ADDRESS, about="the client's address"),
-        "peer.port": Field(INT, low=0, high=MAX_PORT, about="the client's port"),
-        "open.id": Field(STRING, size=MAX_HEX_DIGITS, about="the connection's id, in hex"),
-        "open.key": Field(STRING, size=MAX_HEX_DIGITS, about="the flow's key, in hex"),
-        "open.class": Field(optional(STRING), size=MAX_NAME_BYTES, about="c"),
-        "open.tenant": Field(optional(STRING), size=MAX_NAME_BYTES, about="t"),
-        "open.group": Field(optional(STRING), size=MAX_HEX_DIGITS, about="g, in hex"),
-        "open.load": Field(optional(FLOAT), low=0.0, high=MAX_LOAD, about="h, the load hinted at"),
-        "open.time_left": Field(DURATION, low=0, high=MAX_TIME_LEFT_US, about="d"),
-        "open.retry": Field(BOOL, about="r=1"),
-        "open.again": Field(BOOL, about="again=1: moved or broken before"),
+        "peer.address": Field(ADDRESS, description="the client's address"),
+        "peer.port": Field(INT, low=0, high=MAX_PORT, description="the client's port"),
+        "open.id": Field(STRING, max_bytes=MAX_HEX_DIGITS, description="the connection's id, in hex"),
+        "open.key": Field(STRING, max_bytes=MAX_HEX_DIGITS, description="the flow's key, in hex"),
+        "open.class": Field(optional(STRING), max_bytes=MAX_NAME_BYTES, description="c"),
+        "open.tenant": Field(optional(STRING), max_bytes=MAX_NAME_BYTES, description="t"),
+        "open.group": Field(optional(STRING), max_bytes=MAX_HEX_DIGITS, description="g, in hex"),
+        "open.load": Field(optional(FLOAT), low=0.0, high=MAX_LOAD, description="h, the load hinted at"),
+        "open.time_left": Field(DURATION, low=0, high=MAX_TIME_LEFT_US, description="d"),
+        "open.retry": Field(BOOL, description="r=1"),
+        "open.again": Field(BOOL, description="again=1: moved or broken before"),
         "open.extra": Field(
-            map_of(STRING), size=MAX_NAME_BYTES, most=MAX_EXTRA_VALUES, about="values of other names"
+            map_of(STRING),
+            max_bytes=MAX_NAME_BYTES,
+            max_entries=MAX_EXTRA_VALUES,
+            description="values of other names",
         ),
     },
 )
@@ -55,12 +58,12 @@
     """Return the values of a request's fields, in the order of the schema; `peer` as getpeername has it."""
     values = opening.values or OpeningValues("")
     return (
-        packed(str(peer[0]).partition("%")[0]) or NO_ADDRESS,
+        pack_address(str(peer[0]).partition("%")[0]) or NO_ADDRESS,
         peer[1],
         f"{opening.connection_id:x}",
         f"{opening.idempotency_key:x}",
-        fitting(values.get("c"), MAX_NAME_BYTES),
-        fitting(values.get("t"), MAX_NAME_BYTES),
+        bounded_text(values.get("c"), MAX_NAME_BYTES),
+        bounded_text(values.get("t"), MAX_NAME_BYTES),
         values.get("g") or None,
         opening.load,
         round(opening.time_left_ms * 1000),
--- a/violetdoor/fronts/nats/fields.py
+++ b/violetdoor/fronts/nats/fields.py
@@ -15,11 +15,11 @@
     STRING,
     Field,
     Schema,
-    fitting,
-    fitting_map,
+    bounded_map,
+    bounded_text,
     map_of,
     optional,
-    packed,
+    pack_address,
 )
 
 # Bytes; what is longer counts as missing.
@@ -36,24 +36,33 @@
 SCHEMA = Schema(
     "nats",
     {
-        "peer.address": Field(ADDRESS, about="the client's address"),
-        "peer.port": Field(INT, low=0, high=MAX_PORT, about="the client's port"),
-        "connect.user": Field(optional(STRING), size=MAX_NAME_BYTES, about="user of CONNECT"),
-        "connect.name": Field(optional(STRING), size=MAX_NAME_BYTES, about="name of CONNECT"),
-        "connect.lang": Field(optional(STRING), size=MAX_WORD_BYTES, about="lang of CONNECT"),
-        "connect.version": Field(optional(STRING), size=MAX_WORD_BYTES, about="version of CONNECT"),
-        "connect.verbose": Field(BOOL, about="verbose of CONNECT"),
-        "connect.headers": Field(BOOL, about="headers of CONNECT"),
+        "peer.address": Field(ADDRESS, description="the client's address"),
+        "peer.port": Field(INT, low=0, high=MAX_PORT, description="the client's port"),
+        "connect.user": Field(optional(STRING), max_bytes=MAX_NAME_BYTES, description="user of CONNECT"),
+        "connect.name": Field(optional(STRING), max_bytes=MAX_NAME_BYTES, description="name of CONNECT"),
+        "connect.lang": Field(optional(STRING), max_bytes=MAX_WORD_BYTES, description="lang of CONNECT"),
+        "connect.version": Field(
+            optional(STRING), max_bytes=MAX_WORD_BYTES, description="version of CONNECT"
+        ),
+        "connect.verbose": Field(BOOL, description="verbose of CONNECT"),
+        "connect.headers": Field(BOOL, description="headers of CONNECT"),
         "first.op": Field(
-            optional(STRING), size=MAX_WORD_BYTES, about="SUB, PUB or HPUB: the first of these, where known"
+            optional(STRING),
+            max_bytes=MAX_WORD_BYTES,
+            description="SUB, PUB or HPUB: the first of these, where known",
+        ),
+        "first.subject": Field(optional(STRING), max_bytes=MAX_SUBJECT_BYTES, description="its subject"),
+        "first.queue": Field(
+            optional(STRING), max_bytes=MAX_SUBJECT_BYTES, description="the queue group of a SUB"
         ),
-        "first.subject": Field(optional(STRING), size=MAX_SUBJECT_BYTES, about="its subject"),
-        "first.queue": Field(optional(STRING), size=MAX_SUBJECT_BYTES, about="the queue group of a SUB"),
         "first.size": Field(
-            optional(SIZE), low=0, high=MAX_SIZE_BYTES, about="bytes of a PUB or HPUB, headers included"
+            optional(SIZE), low=0, high=MAX_SIZE_BYTES, description="bytes of a PUB or HPUB, headers included"
         ),
         "first.headers": Field(
-            map_of(STRING), size=MAX_HEADER_BYTES, most=MAX_HEADERS, about="headers of an HPUB"
+            map_of(STRING),
+            max_bytes=MAX_HEADER_BYTES,
+            max_entries=MAX_HEADERS,
+            description="headers of an HPUB",
         ),
     },
 )
@@ -74,12 +83,12 @@
     """Return the values of a client's fields, in the order of the schema; `peer` as getpeername has it."""
     operation = _first_operation(first)
     return (
-        packed(str(peer[0]).partition("%")[0]) or NO_ADDRESS,
+        pack_address(str(peer[0]).partition("%")[0]) or NO_ADDRESS,
         peer[1],
-        fitting(connect.get("user"), MAX_NAME_BYTES),
-        fitting(connect.get("name"), MAX_NAME_BYTES),
-        fitting(connect.get("lang"), MAX_WORD_BYTES),
-        fitting(connect.get("version"), MAX_WORD_BYTES),
+        bounded_text(connect.get("user"), MAX_NAME_BYTES),
+        bounded_text(connect.get("name"), MAX_NAME_BYTES),
+        bounded_text(connect.get("lang"), MAX_WORD_BYTES),
+        bounded_text(connect.get("version"), MAX_WORD_BYTES),
         bool(connect.get("verbose", True)),
         bool(connect.get("headers", False)),
         operation.operation,
@@ -99,7 +108,7 @@
             found.queue = _text(frame.arguments[1], MAX_SUBJECT_BYTES)
     else:
         found.size = int(frame.arguments[-1])
-        found.headers = fitting_map(_headers(frame.headers), MAX_HEADERS, MAX_HEADER_BYTES)
+        found.headers = bounded_map(_headers(frame.headers), MAX_HEADERS, MAX_HEADER_BYTES)
     return found
 
 
--- a/violetdoor/match/cases.py
+++ b/violetdoor/match/cases.py
@@ -11,7 +11,7 @@
 
 from violetdoor.match.runtime import RuleSet, Verdict
 from violetdoor.match.types import Schema
-from violetdoor.match.values import RequestError, request_from
+from violetdoor.match.values import RequestError, parse_request
 
 
 class Expected(Struct, forbid_unknown_fields=True):
@@ -49,17 +49,17 @@
     differences: list[str] = field(default_factory=list)
 
 
-def read(data: Any) -> Cases:
+def parse_cases(data: Any) -> Cases:
     """Cases out of a file's data; msgspec.ValidationError where it has another form."""
     return convert(data, Cases)
 
 
-def run(rules: RuleSet, schema: Schema, cases: Cases) -> Iterator[Outcome]:
+def run_cases(rules: RuleSet, schema: Schema, cases: Cases) -> Iterator[Outcome]:
     """Decide each case's request, and compare."""
     for case in cases.cases:
         outcome = Outcome(case.name)
         try:
-            verdict = rules.decide(request_from(case.request, schema))
+            verdict = rules.decide(parse_request(case.request, schema))
         except RequestError as err:
             outcome.differences.append(f"request: {err}")
         else:
@@ -67,7 +67,7 @@
         yield outcome
 
 
-def said(verdict: Verdict) -> dict[str, Any]:
+def verdict_fields(verdict: Verdict) -> dict[str, Any]:
     """A verdict by the names of the language."""
     return {
         "rule": verdict.rule, "class": verdict.cls, "tenant": verdict.tenant, "group": verdict.group,
@@ -76,7 +76,7 @@
 
 
 def _differences(expect: Expected, verdict: Verdict) -> Iterator[str]:
-    found = said(verdict)
+    found = verdict_fields(verdict)
     wanted = {"rule": expect.rule, "class": expect.cls, "tenant": expect.tenant, "group": expect.group,
               "key": expect.key, "pool": expect.pool, "refuse": expect.refuse,
               "labels": expect.labels}  # fmt: skip
--- a/violetdoor/match/check.py
+++ b/violetdoor/match/check.py
@@ -13,7 +13,7 @@
 from violetdoor.match.faults import Faults, Span
 from violetdoor.match.grammar import DEPTH_MOST
 from violetdoor.match.prices import contains_steps
-from violetdoor.match.runtime import compiled_pattern
+from violetdoor.match.runtime import compile_pattern
 from violetdoor.match.typed import OPS, Graph, Typed, computed
 from violetdoor.match.types import (
     ADDRESS,
@@ -131,7 +131,7 @@
         if found := self.schema.fields.get(name):
             place = self.schema.places[name]
             return self.graph.add(
-                Typed("field", found.type, value=(place, name), size=found.size, most=found.most,
+                Typed("field", found.type, value=(place, name), size=found.max_bytes, most=found.max_entries,
                       low=found.low, high=found.high, own=self.graph.price("field"))
             )  # fmt: skip
         every = [*names, *self.defines, *self.sets.named, *self.schema.fields]
@@ -386,7 +386,7 @@
             made = Typed("fits", BOOL, (text,), value=("tokens", tokens))
             return self.make(made, node.span, text.size, value=tokens)
         try:
-            program = compiled_pattern(pattern)
+            program = compile_pattern(pattern)
         except ValueError as err:
             return self.fault(span, f"expected a regular expression of RE2: {err}")
         if program.programsize > PATTERN_MOST:
--- a/violetdoor/match/emit.py
+++ b/violetdoor/match/emit.py
@@ -5,7 +5,7 @@
 import marshal
 from typing import Any
 
-from violetdoor.match.typed import Typed, written
+from violetdoor.match.typed import Typed, generate_code
 
 LEVELS_MOST = 20  # in one function: Python's own parser takes 200 brackets inside each other
 FUNCTIONS_A_CODE = 500
@@ -61,7 +61,7 @@
             self._helpers += 1
             return self.define(f"h{self._helpers}", self.code(node, top=True)) + "(r, m)"
         args = [self.code(arg, level=level + 1) for arg in node.args]
-        return written(node, args, self.value(node), self.fresh)
+        return generate_code(node, args, self.value(node), self.fresh)
 
     def value(self, node: Typed) -> str:
         """The constant beside a part's operands."""
--- a/violetdoor/match/explain.py
+++ b/violetdoor/match/explain.py
@@ -13,9 +13,9 @@
 from violetdoor.match.emit import Emitter
 from violetdoor.match.faults import Span, shown
 from violetdoor.match.load import Checked, Loaded
-from violetdoor.match.runtime import ENVIRONMENT, Nets, Request, Verdict, compiled_pattern
+from violetdoor.match.runtime import ENVIRONMENT, PrefixTable, Request, Verdict, compile_pattern
 from violetdoor.match.typed import Typed
-from violetdoor.match.types import ADDRESS, written
+from violetdoor.match.types import ADDRESS, format_address
 
 VALUES_MOST = 4  # operands that are shown of one term
 
@@ -40,7 +40,7 @@
     verdict: Verdict
     steps: list[Step]
     cost_us: float  # of the whole set at the worst
-    tested: int  # rules that were tested one by one, after the look-ups
+    tested_rules: int  # rules that were tested one by one, after the look-ups
     failure: str = ""
 
 
@@ -61,7 +61,7 @@
         sets = loaded.checker.sets
         self.space: dict[str, Any] = dict(ENVIRONMENT) | {"S": sets.texts, "N": [], "V": Verdict}
         for members in sets.nets:
-            nets = Nets()
+            nets = PrefixTable()
             for _ in nets.fill((address, length, True) for address, length in members):
                 pass
             self.space["N"].append(nets)
@@ -71,7 +71,7 @@
         emitter = Emitter({})
         emitter.function("value", node)
         space = dict(self.space)
-        space["P"] = [compiled_pattern(p) for p in emitter.patterns]
+        space["P"] = [compile_pattern(p) for p in emitter.patterns]
         space["C"] = emitter.constants
         exec("".join(emitter.functions), space)
         return space["value"](request, [])
@@ -79,7 +79,7 @@
 
 def explain(loaded: Loaded, request: Request) -> Explanation:
     """Follow one request through all rules up to the one that decides it."""
-    ready = loaded.ready()
+    ready = loaded.build()
     evaluator = Evaluator(loaded)
     candidates = set(ready.candidates(request, [*ready._blank]))
     verdict = ready.decide(request)
@@ -95,7 +95,7 @@
     else:
         line, _ = loaded.faults.place(loaded.default.offset)
         steps.append(Step("default", line, True))
-    return Explanation(verdict, steps, ready.cost / 1000, tested, ready.last_failure)
+    return Explanation(verdict, steps, ready.cost_ns / 1000, tested, ready.last_failure)
 
 
 def _step(loaded: Loaded, evaluator: Evaluator, checked: Checked, request: Request) -> Step:
@@ -153,7 +153,7 @@
 
 def _shown(typed: Typed, value: Any) -> str:
     return (
-        written(value)
+        format_address(value)
         if typed.type.inner == ADDRESS
         else shown(str(value))
         if isinstance(value, str)
--- a/violetdoor/match/load.py
+++ b/violetdoor/match/load.py
@@ -22,7 +22,7 @@
 MEMBERS_MOST = 1_000_000  # of all named sets of one source
 OUTPUT_MOST = 512  # bytes of one output
 LABELS_MOST = 16
-LIMIT_US = 250.0  # that a set may cost a request at the worst, where the settings say nothing
+DEFAULT_LIMIT_US = 250.0  # that a set may cost a request at the worst, where the settings say nothing
 OUTPUTS = ("class", "tenant", "group", "key", "pool", "refuse")
 TYPES = {"group": INT, "key": INT}
 
@@ -53,9 +53,9 @@
     checker: Checker
     faults: Faults
 
-    def ready(self) -> RuleSet:
+    def build(self) -> RuleSet:
         """The rules, ready to decide in this process."""
-        return RuleSet(self.data).ready()
+        return RuleSet(self.data).build()
 
 
 def no_files(name: str) -> str:
@@ -69,7 +69,7 @@
 
     schema: Schema
     classes: Collection[str] | None = None  # that the site knows; none: any
-    limit_us: float = LIMIT_US
+    limit_us: float = DEFAULT_LIMIT_US
     read: Reader = no_files
     file: str = "rules"
     line: int = 1
--- a/violetdoor/match/prices.py
+++ b/violetdoor/match/prices.py
@@ -10,13 +10,13 @@
 
 import orjson
 
-TABLE = Path(__file__).with_name("prices.json")
+PRICE_TABLE_PATH = Path(__file__).with_name("prices.json")
 
 
 @cache
 def table() -> dict[str, tuple[float, float]]:
     """The table in force."""
-    data = orjson.loads(TABLE.read_bytes())
+    data = orjson.loads(PRICE_TABLE_PATH.read_bytes())
     return {name: (float(base), float(each)) for name, (base, each) in data["ns"].items()}
 
 
--- a/violetdoor/match/runtime.py
+++ b/violetdoor/match/runtime.py
@@ -13,7 +13,7 @@
 from types import CodeType, MappingProxyType
 from typing import Any, NamedTuple
 
-from violetdoor.match.types import INT_HIGH, INT_LOW, packed, written
+from violetdoor.match.types import INT_HIGH, INT_LOW, format_address, pack_address
 
 FORMAT = 1  # of what the compiler writes
 CHUNK = 2000  # prefixes, or functions, taken in before others get a turn
@@ -104,7 +104,7 @@
     return xxh3_64_intdigest(value) % n
 
 
-class Nets:
+class PrefixTable:
     """A set of prefixes of both families.
 
     Each may carry a value. The longest that holds an address counts.
@@ -129,13 +129,13 @@
 
 ENVIRONMENT: dict[str, Any] = {
     "U": U, "ck": ck, "cf": cf, "div": div, "mod": mod, "fdiv": fdiv, "split": split, "nth": nth,
-    "fits": fits, "to_int": to_int, "to_float": to_float, "digest": digest, "packed": packed,
-    "written": written,
+    "fits": fits, "to_int": to_int, "to_float": to_float, "digest": digest, "packed": pack_address,
+    "written": format_address,
     "__builtins__": {"len": len, "min": min, "max": max, "str": str, "float": float, "abs": abs},
 }  # fmt: skip
 
 
-def compiled_pattern(pattern: str) -> Any:
+def compile_pattern(pattern: str) -> Any:
     """A regular expression that runs in linear time, or ValueError."""
     import re2
 
@@ -177,11 +177,11 @@
         """Take the compiler's product; it is ready once `install` has run to its end."""
         if data.get("format") != FORMAT:
             raise ValueError("the compiled rules are of another version")
-        self.names: list[str] = data["names"]
-        self.used: frozenset[str] = frozenset(data["used"])
-        self.cost: float = data["cost"]  # ns at the worst, by the price table
+        self.rule_names: list[str] = data["names"]
+        self.used_fields: frozenset[str] = frozenset(data["used"])
+        self.cost_ns: float = data["cost"]  # ns at the worst, by the price table
         self.origin: str = data["origin"]
-        self.failed = 0
+        self.failure_count = 0
         self.last_failure = ""
         self._data = data
         self._blank: list[Any] = [U] * data["shared"]
@@ -198,12 +198,12 @@
         """
         data, space = self._data, dict(ENVIRONMENT)
         space["V"] = Verdict
-        space["P"] = [compiled_pattern(pattern) for pattern in data["patterns"]]
+        space["P"] = [compile_pattern(pattern) for pattern in data["patterns"]]
         space["S"] = data["texts"]
         space["C"] = data["constants"]
         space["N"] = nets = []
         for members in data["nets"]:
-            nets.append(Nets())
+            nets.append(PrefixTable())
             yield from nets[-1].fill((address, length, True) for address, length in members)
         for blob in data["code"]:
             code = marshal.loads(blob)
@@ -225,13 +225,13 @@
         self._default = outcome(data["default"])
         for kind, read, table in data["groups"]:
             if kind == "net":
-                tree = Nets()
+                tree = PrefixTable()
                 yield from tree.fill(table)
                 table = tree
             self._groups.append(_Group(kind, step(read), table))
         self._data = {}
 
-    def ready(self) -> RuleSet:
+    def build(self) -> RuleSet:
         """Build all at once."""
         for _ in self.install():
             pass
@@ -274,12 +274,12 @@
             out = self._default
             return out if isinstance(out, Verdict) else out(request, memo)
         except Exception as err:
-            name = self.names[at] if at >= 0 else "default"
-            return self.fail(name, f"{type(err).__name__} {err}", request)
+            name = self.rule_names[at] if at >= 0 else "default"
+            return self.record_failure(name, f"{type(err).__name__} {err}", request)
 
-    def fail(self, rule: str, why: str, request: Request) -> Verdict:
+    def record_failure(self, rule: str, why: str, request: Request) -> Verdict:
         """Count a rule's failure; the default's word in its place."""
-        self.failed += 1
+        self.failure_count += 1
         self.last_failure = f"{rule!r}: {why}"
         out = self._default
         if isinstance(out, Verdict):
--- a/violetdoor/match/typed.py
+++ b/violetdoor/match/typed.py
@@ -146,7 +146,7 @@
     return (type(value).__name__, repr(value) if isinstance(value, float) else value)
 
 
-def written(node: Typed, args: list[str], value: str, fresh: Callable[[], str]) -> str:
+def generate_code(node: Typed, args: list[str], value: str, fresh: Callable[[], str]) -> str:
     """The code of a part out of the code of those below it; what may be missing is looked at first."""
     match node.op:
         case "and" | "or":
@@ -179,5 +179,5 @@
     space: dict[str, Any] = {f"a{n}": arg.value for n, arg in enumerate(node.args)}
     space |= {"v": value} | ENVIRONMENT
     names = iter(f"x{n}" for n in range(16))
-    code = written(node, [f"a{n}" for n in range(len(node.args))], "v", lambda: next(names))
+    code = generate_code(node, [f"a{n}" for n in range(len(node.args))], "v", lambda: next(names))
     return eval(code, space)
--- a/violetdoor/match/types.py
+++ b/violetdoor/match/types.py
@@ -65,17 +65,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Field:
-    """One field of a request: its type, and the bounds that its front keeps.
+    """One field of a request: its type, and the bounds that its front enforces.
 
-    `size` is the longest string in bytes, of the field itself or of an item; `most` the longest list or map.
+    `max_bytes` bounds a string, be it the field itself or an entry of it; `max_entries` bounds a list or map.
     """
 
     type: Type
-    size: int = 0
-    most: int = 0
+    max_bytes: int = 0
+    max_entries: int = 0
     low: float = INT_LOW
     high: float = INT_HIGH
-    about: str = ""
+    description: str = ""
 
 
 @dataclass(slots=True, frozen=True)
@@ -95,7 +95,7 @@
         return tuple(map(values.get, self.fields))
 
 
-def packed(text: str) -> bytes | None:
+def pack_address(text: str) -> bytes | None:
     """An address in its packed form, or None if the text is none; an IPv4 address inside IPv6 is IPv4."""
     try:
         if ":" not in text:
@@ -106,12 +106,12 @@
     return address[12:] if address.startswith(MAPPED) else address
 
 
-def written(address: bytes) -> str:
+def format_address(address: bytes) -> str:
     """A packed address as text."""
     return inet_ntop(AF_INET if len(address) == 4 else AF_INET6, address)
 
 
-def fitting(text: Any, most: int) -> str | None:
+def bounded_text(text: Any, most: int) -> str | None:
     """A string that keeps its bound, or None.
 
     Guards against a client that makes rules cost more than they may.
@@ -121,12 +121,12 @@
     return text
 
 
-def fitting_map(pairs: Iterable[tuple[str, str]], most: int, size: int) -> dict[str, str]:
+def bounded_map(pairs: Iterable[tuple[str, str]], most: int, size: int) -> dict[str, str]:
     """The first value of each name, so many at most; what is too long is left out."""
     found: dict[str, str] = {}
     for name, value in pairs:
         if len(found) >= most:
             break
-        if fitting(name, size) is not None and fitting(value, size) is not None:
+        if bounded_text(name, size) is not None and bounded_text(value, size) is not None:
             found.setdefault(name, value)
     return found
--- a/violetdoor/match/values.py
+++ b/violetdoor/match/values.py
@@ -19,7 +19,7 @@
     """
 
 
-def request_from(data: Any, schema: t.Schema) -> tuple[Any, ...]:
+def parse_request(data: Any, schema: t.Schema) -> tuple[Any, ...]:
     """A request out of field names and values; fields left out are missing, zero or empty."""
     if not isinstance(data, Mapping):
         raise RequestError(f"found {_shown(data)}, expected a table of fields")
@@ -68,17 +68,17 @@
     if kind.name == "list" and kind.item is not None:
         inner = kind.item
         held = [_typed(inner, v, field) for v in value] if isinstance(value, list) else [None]
-        return None if None in held or len(held) > field.most else tuple(held)
+        return None if None in held or len(held) > field.max_entries else tuple(held)
     if kind.name == "map" and kind.item is not None:
-        if not isinstance(value, Mapping) or len(value) > field.most:
+        if not isinstance(value, Mapping) or len(value) > field.max_entries:
             return None
         inner = kind.item
         made = {k: _typed(inner, v, field) for k, v in value.items()}
-        return None if None in made.values() or any(len(k) > field.size for k in made) else made
+        return None if None in made.values() or any(len(k) > field.max_bytes for k in made) else made
     if kind == t.STRING:
-        return t.fitting(value, field.size)
+        return t.bounded_text(value, field.max_bytes)
     if kind == t.ADDRESS:
-        return t.packed(value) if isinstance(value, str) else None
+        return t.pack_address(value) if isinstance(value, str) else None
     if kind == t.BOOL:
         return value if isinstance(value, bool) else None
     if isinstance(value, str) and kind in (t.DURATION, t.SIZE):
@@ -103,13 +103,13 @@
 
 def _expected(kind: t.Type, field: t.Field) -> str:
     if kind == t.STRING:
-        return f"a string of at most {field.size} bytes"
+        return f"a string of at most {field.max_bytes} bytes"
     if kind in t.NUMBERS:
         return f"{kind} from {field.low:g} to {field.high:g}" + (
             " or a text like '250ms'" * (kind == t.DURATION)
         )
     if kind.name in ("map", "list"):
-        return f"a {kind} with at most {field.most} entries of {field.size} bytes"
+        return f"a {kind} with at most {field.max_entries} entries of {field.max_bytes} bytes"
     return f"{kind}"
 
 
--- a/violetdoor/rules/active_rules.py
+++ b/violetdoor/rules/active_rules.py
@@ -33,7 +33,7 @@
     @property
     def used_fields(self) -> frozenset[str]:
         """The fields that the rules read; a front need not find out any other."""
-        return self.rule_set.used
+        return self.rule_set.used_fields
 
     async def replace(self, compiled: CompiledRules) -> None:
         """Put another set in force, in one step once it is complete; built in small steps meanwhile."""
@@ -48,8 +48,8 @@
         log.info(
             "rules from %s in force: %d, up to %.0f us a request",
             rule_set.origin,
-            len(rule_set.names),
-            rule_set.cost / NS_PER_US,
+            len(rule_set.rule_names),
+            rule_set.cost_ns / NS_PER_US,
         )
 
     def decide(self, request: Request, classes: Container[str]) -> Verdict:
@@ -61,7 +61,7 @@
         verdict = rule_set.decide(request)
         if verdict.cls is not None and verdict.cls not in classes:
             shown_class = verdict.cls[:MAX_SHOWN_CLASS_LENGTH]
-            verdict = rule_set.fail(verdict.rule, f"unknown class {shown_class!r}", request)
+            verdict = rule_set.record_failure(verdict.rule, f"unknown class {shown_class!r}", request)
             if verdict.cls not in classes:
                 verdict = verdict._replace(cls=None)
         self.hits_by_rule[verdict.rule] += 1
@@ -69,16 +69,16 @@
             self._count_outcome(f"pool {verdict.pool}")
         for name, value in verdict.labels.items():
             self._count_outcome(f"label {name}={value}")
-        if rule_set.failed > self._counted_failures:
+        if rule_set.failure_count > self._counted_failures:
             self._count_failures(rule_set)
         return verdict
 
     def _count_failures(self, rule_set: RuleSet) -> None:
         """Count failures of rules; the first of a set is logged, since each request may bring another."""
-        self.counters["rules_failed"] += rule_set.failed - self._counted_failures
+        self.counters["rules_failed"] += rule_set.failure_count - self._counted_failures
         if self._counted_failures == 0:
             log.error("a rule failed, its request got the default: %s", rule_set.last_failure)
-        self._counted_failures = rule_set.failed
+        self._counted_failures = rule_set.failure_count
 
     def _count_outcome(self, name: str) -> None:
         if name in self.hits_by_outcome or len(self.hits_by_outcome) < MAX_COUNTED_OUTCOMES:
@@ -89,9 +89,9 @@
         rule_set = self.rule_set
         lines = [
             f"rules {rule_set.origin}",
-            f"count {len(rule_set.names)}",
-            f"cost_us {rule_set.cost / NS_PER_US:.1f}",
-            f"failed {rule_set.failed}",
+            f"count {len(rule_set.rule_names)}",
+            f"cost_us {rule_set.cost_ns / NS_PER_US:.1f}",
+            f"failed {rule_set.failure_count}",
         ]
         most_common = self.hits_by_rule.most_common(MAX_COUNTED_OUTCOMES)
         lines += [f"hits {name}: {count}" for name, count in most_common]
--- a/violetdoor/rules/source.py
+++ b/violetdoor/rules/source.py
@@ -62,4 +62,4 @@
 
     def build(self) -> RuleSet:
         """Return the set, ready to decide; takes its time all at once."""
-        return RuleSet(self.data).ready()
+        return RuleSet(self.data).build()
