--- a/tests/interpreter.py
+++ b/tests/interpreter.py
@@ -16,7 +16,7 @@
     """What compiled rules meet as OverflowError."""
 
 
-def whole(n: Any) -> Any:
+def check_range(n: Any) -> Any:
     if isinstance(n, bool) or not isinstance(n, (int, float)):
         return n
     if isinstance(n, float):
@@ -31,7 +31,7 @@
     def __init__(self, fields: dict[str, Any], sets: dict[str, Any], defines: dict[str, tree.Node]) -> None:
         self.fields, self.sets, self.defines = fields, sets, defines
 
-    def value(self, node: tree.Node, names: dict[str, Any]) -> Any:
+    def evaluate(self, node: tree.Node, names: dict[str, Any]) -> Any:
         match node:
             case tree.Literal(value=value):
                 return value
@@ -39,34 +39,34 @@
                 if name in names:
                     return names[name]
                 if name in self.defines:
-                    return self.value(self.defines[name], {})
+                    return self.evaluate(self.defines[name], {})
                 return self.sets[name] if name in self.sets else self.fields[name]
             case tree.Let(name=name, value=value, body=body):
-                return self.value(body, names | {name: self.value(value, names)})
-            case tree.Items(items=items):
-                return [self.value(i, names) for i in items]
-            case tree.Pairs(pairs=pairs):
-                return {self.value(k, names): self.value(v, names) for k, v in pairs}
-            case tree.Apply(op="and", args=args):
-                return all(self.value(a, names) for a in args)
-            case tree.Apply(op="or", args=args):
-                return any(self.value(a, names) for a in args)
-            case tree.Apply(op="if", args=(test, one, other)):
-                return self.value(one if self.value(test, names) else other, names)
-            case tree.Apply(op="??", args=(one, other)):
-                held = self.value(one, names)
-                return self.value(other, names) if held is None else held
-            case tree.Apply(op=op, args=args):
-                return self.apply(op, [self.value(a, names) for a in args])
+                return self.evaluate(body, names | {name: self.evaluate(value, names)})
+            case tree.ListLiteral(items=items):
+                return [self.evaluate(i, names) for i in items]
+            case tree.MapLiteral(pairs=pairs):
+                return {self.evaluate(k, names): self.evaluate(v, names) for k, v in pairs}
+            case tree.Operation(op="and", args=args):
+                return all(self.evaluate(a, names) for a in args)
+            case tree.Operation(op="or", args=args):
+                return any(self.evaluate(a, names) for a in args)
+            case tree.Operation(op="if", args=(test, one, other)):
+                return self.evaluate(one if self.evaluate(test, names) else other, names)
+            case tree.Operation(op="??", args=(one, other)):
+                held = self.evaluate(one, names)
+                return self.evaluate(other, names) if held is None else held
+            case tree.Operation(op=op, args=args):
+                return self.evaluate_operation(op, [self.evaluate(a, names) for a in args])
         raise TypeError(node)
 
-    def apply(self, op: str, a: list[Any]) -> Any:
+    def evaluate_operation(self, op: str, a: list[Any]) -> Any:
         if op == "not":
             return not a[0]
         if op == "has":
             return a[0] is not None
         if op == "!=":
-            return not self.apply("==", a)
+            return not self.evaluate_operation("==", a)
         if None in a:
             tests = (
                 "==",
@@ -94,7 +94,9 @@
             case ">=":
                 return a[0] >= a[1]
             case "in":
-                return any(holds(p, a[0]) for p in a[1]) if isinstance(a[1], tuple) else a[0] in a[1]
+                return (
+                    any(prefix_contains(p, a[0]) for p in a[1]) if isinstance(a[1], tuple) else a[0] in a[1]
+                )
             case "matches":
                 return re.search(a[1], a[0]) is not None
             case "fits":
@@ -107,19 +109,19 @@
             case "contains":
                 return a[0].find(a[1]) >= 0
             case "+":
-                return whole(a[0] + a[1])
+                return check_range(a[0] + a[1])
             case "-":
-                return whole(a[0] - a[1])
+                return check_range(a[0] - a[1])
             case "*":
-                return whole(a[0] * a[1])
+                return check_range(a[0] * a[1])
             case "/":
                 if a[1] == 0:
                     return None
-                return whole(a[0] / a[1] if isinstance(a[0] + a[1], float) else a[0] // a[1])
+                return check_range(a[0] / a[1] if isinstance(a[0] + a[1], float) else a[0] // a[1])
             case "%":
                 return a[0] % a[1] if a[1] else None
             case "negative":
-                return whole(-a[0])
+                return check_range(-a[0])
             case "index":
                 if isinstance(a[0], dict):
                     return a[0].get(a[1])
@@ -155,7 +157,7 @@
         raise TypeError(op)
 
 
-def holds(prefix: tuple[bytes, int], address: bytes) -> bool:
+def prefix_contains(prefix: tuple[bytes, int], address: bytes) -> bool:
     bits = len(address) * 8
-    there, asked = int.from_bytes(prefix[0], "big"), int.from_bytes(address, "big")
-    return len(prefix[0]) == len(address) and (there ^ asked) >> (bits - prefix[1]) == 0
+    prefix_bits, address_bits = int.from_bytes(prefix[0], "big"), int.from_bytes(address, "big")
+    return len(prefix[0]) == len(address) and (prefix_bits ^ address_bits) >> (bits - prefix[1]) == 0
--- a/tests/test_match.py
+++ b/tests/test_match.py
@@ -14,8 +14,8 @@
 from violetdoor.match import runtime
 from violetdoor.match import types as t
 from violetdoor.match.emit import Emitter
-from violetdoor.match.faults import FAULTS_MOST, Faults, RulesError
-from violetdoor.match.grammar import parse, parse_expression, sorted_out
+from violetdoor.match.faults import MAX_REPORTED_FAULTS, Faults, RulesError
+from violetdoor.match.grammar import group_items, parse, parse_expression
 from violetdoor.match.load import Loaded, Loader
 from violetdoor.match.runtime import RuleSet, Verdict
 from violetdoor.match.typed import Typed
@@ -116,12 +116,12 @@
     text = "".join(f'rule "r{n}" when who{n} {{ class = 1; }}\n' for n in range(200))
     with pytest.raises(RulesError) as caught:
         load(text)
-    assert len(caught.value.faults) == FAULTS_MOST
-    assert caught.value.left_out > 100
+    assert len(caught.value.faults) == MAX_REPORTED_FAULTS
+    assert caught.value.omitted_count > 100
     assert [f.line for f in caught.value.faults][:4] == [1, 1, 2, 2]
 
 
-def doubled(times: int) -> str:
+def doubling_rule(times: int) -> str:
     lets = "".join(f"let a{n + 1} = a{n} + a{n}; " for n in range(times))
     return f'rule "r" when (let a0 = s; {lets}a{times} == "x") {{}}\ndefault {{}}'
 
@@ -130,7 +130,7 @@
     "nested": 'rule "r" when ' + "not " * 10_000 + "b {}\ndefault {}",
     "brackets": 'rule "r" when ' + "(" * 10_000 + "b" + ")" * 9_999 + " {}\ndefault {}",
     "chain": 'rule "r" when n' + " + n" * 10_000 + " == 1 {}\ndefault {}",
-    "doubling": doubled(40),
+    "doubling": doubling_rule(40),
     "names in names": "".join(f"define a{n} = n + {f'a{n - 1}' if n else 1};\n" for n in range(5000))
     + "default {}",
     "garbage": "\x00(\xff\n" * 250_000,
@@ -182,11 +182,11 @@
         for n in range(2, 300, 5)
     )
     rules = "".join(f'rule "r{n}" when {part} {{ key = {n}; }}\n' for n, part in enumerate(parts))
-    looked = load(nets + rules + "default {}")
-    assert {g[0] for g in looked.data["groups"]} == {"value", "prefix", "net"}
-    ready = looked.build()
+    loaded = load(nets + rules + "default {}")
+    assert {g[0] for g in loaded.data["groups"]} == {"value", "prefix", "net"}
+    ready = loaded.build()
     faults = Faults("x", nets + rules + "default {}")
-    source, _ = sorted_out(parse(faults.text, faults))
+    source, _ = group_items(parse(faults.text, faults))
     sets = {s.name: tuple(map(prefix_of, s.members)) for s in source.sets}
     for _ in range(400):
         n = rng.randint(0, 300)
@@ -195,7 +195,7 @@
                   "ip": rng.choice([bytes([10, n % 4, n % 7, 1]), bytes([0xFD, 0, 0, n % 256]) + bytes(12)])}  # fmt: skip
         fields = dict(zip(SCHEMA.fields, request(**values), strict=True))
         plain = Interpreter(fields, sets, {})
-        first = next((r.name for r in source.rules if r.when and plain.value(r.when, {})), "default")
+        first = next((r.name for r in source.rules if r.when and plain.evaluate(r.when, {})), "default")
         assert ready.decide(request(**values)).rule == first
 
 
@@ -289,17 +289,17 @@
 })  # fmt: skip
 
 
-class Probing(Emitter):
+class ProbingEmitter(Emitter):
     """Compiles a call behind each part that tells its node and its value."""
 
     nodes: dict[int, Typed] = {}  # noqa: RUF012
 
     def code(self, node: Typed, top: bool = False, level: int = 0) -> str:
         text = super().code(node, top, level)
-        if node.constant or (node.number in self.slots and not top):
+        if node.is_constant or (node.node_id in self.memo_slots and not top):
             return text
-        self.nodes[node.number] = node
-        return f"probe({node.number}, {text})"
+        self.nodes[node.node_id] = node
+        return f"probe({node.node_id}, {text})"
 
 
 @settings(max_examples=250, deadline=None)
@@ -310,7 +310,7 @@
     """And what is computed on the way keeps the checker's bounds of size, range and cost."""
     text = f'{TOP}rule "r" when {when} {{ tenant = {out}; }}\ndefault {{ tenant = "none"; }}'
     try:
-        loaded = load(text, emitter=Probing)
+        loaded = load(text, emitter=ProbingEmitter)
     except RulesError as err:
         assert all("goes over the range" in f.expected or "never true" in f.expected or "divisor" in f.expected or "never missing" in f.expected
                    for f in err.faults), str(err)  # fmt: skip
@@ -319,8 +319,8 @@
 
     def probe(number: int, value: Any) -> Any:
         nonlocal spent
-        node = Probing.nodes[number]
-        spent += node.own
+        node = ProbingEmitter.nodes[number]
+        spent += node.own_cost_ns
         held = (
             [value]
             if isinstance(value, (str, int, float))
@@ -328,10 +328,10 @@
             if isinstance(value, (list, tuple))
             else []
         )
-        assert len(held) <= max(1, node.most)
+        assert len(held) <= max(1, node.max_items)
         for v in held:
             if isinstance(v, str):
-                assert len(v.encode()) <= node.size
+                assert len(v.encode()) <= node.max_bytes
             elif not isinstance(v, bool):
                 assert node.low <= v <= node.high
         return value
@@ -340,7 +340,7 @@
         patch.setitem(runtime.ENVIRONMENT, "probe", probe)
         rules = loaded.build()
         faults = Faults("x", text)
-        source, _ = sorted_out(parse(text, faults))
+        source, _ = group_items(parse(text, faults))
         sets = {"words": {"a", "ab", "b.c"}, "nets": tuple(map(prefix_of, source.sets[1].members))}
         for values in requests:
             plain = Interpreter(dict(values), sets, {})
@@ -349,7 +349,9 @@
             failed, spent = rules.failure_count, 0.0
             found = rules.decide(request(**values))
             try:
-                tenant = plain.value(rule.outputs[0].value, {}) if plain.value(rule.when, {}) else "none"
+                tenant = (
+                    plain.evaluate(rule.outputs[0].value, {}) if plain.evaluate(rule.when, {}) else "none"
+                )
             except Overflow:
                 continue  # the order of terms is the compiler's, so it may answer before it meets the overflow
             if rules.failure_count == failed:
--- a/violetdoor/match/__init__.py
+++ b/violetdoor/match/__init__.py
@@ -1,1 +1,1 @@
-"""Match expressions: typed rules of bounded cost that say what a request is; no input or output, no wire."""
+"""Match rules: a typed rule language of bounded cost that classifies requests; performs no I/O."""
--- a/violetdoor/match/cases.py
+++ b/violetdoor/match/cases.py
@@ -1,4 +1,4 @@
-"""Cases for rules: a request and what the rules have to say of it."""
+"""Test cases of rules: a request and the verdict that is expected of the rules."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 from msgspec import Struct, convert
-from msgspec import field as named
+from msgspec import field as struct_field
 
 from violetdoor.match.runtime import RuleSet, Verdict
 from violetdoor.match.types import Schema
@@ -15,10 +15,10 @@
 
 
 class Expected(Struct, forbid_unknown_fields=True):
-    """What is expected of a verdict; what is left out may be anything. A refusal of "" means none."""
+    """Expected values of a verdict; None is not compared, `refuse` of "" expects no refusal."""
 
     rule: str | None = None
-    cls: str | None = named(name="class", default=None)
+    cls: str | None = struct_field(name="class", default=None)
     tenant: str | None = None
     group: int | None = None
     key: int | None = None
@@ -28,7 +28,7 @@
 
 
 class Case(Struct, forbid_unknown_fields=True):
-    """One case."""
+    """One test case."""
 
     name: str
     request: dict[str, Any]
@@ -36,26 +36,26 @@
 
 
 class Cases(Struct, forbid_unknown_fields=True):
-    """A file of cases."""
+    """A file of test cases."""
 
     cases: list[Case]
 
 
 @dataclass(slots=True)
 class Outcome:
-    """How one case went; no differences means it passed."""
+    """Result of one case; it passed if there are no differences."""
 
     name: str
     differences: list[str] = field(default_factory=list)
 
 
 def parse_cases(data: Any) -> Cases:
-    """Cases out of a file's data; msgspec.ValidationError where it has another form."""
+    """Return the cases in a file's parsed data; raises msgspec.ValidationError if they do not validate."""
     return convert(data, Cases)
 
 
 def run_cases(rules: RuleSet, schema: Schema, cases: Cases) -> Iterator[Outcome]:
-    """Decide each case's request, and compare."""
+    """Decide each case's request and compare the verdict with the expected one."""
     for case in cases.cases:
         outcome = Outcome(case.name)
         try:
@@ -68,7 +68,7 @@
 
 
 def verdict_fields(verdict: Verdict) -> dict[str, Any]:
-    """A verdict by the names of the language."""
+    """Return a verdict's values by their names in the rule language."""
     return {
         "rule": verdict.rule, "class": verdict.cls, "tenant": verdict.tenant, "group": verdict.group,
         "key": verdict.key, "pool": verdict.pool, "refuse": verdict.refusal, "labels": dict(verdict.labels),
@@ -77,13 +77,13 @@
 
 def _differences(expect: Expected, verdict: Verdict) -> Iterator[str]:
     found = verdict_fields(verdict)
-    wanted = {"rule": expect.rule, "class": expect.cls, "tenant": expect.tenant, "group": expect.group,
+    expected = {"rule": expect.rule, "class": expect.cls, "tenant": expect.tenant, "group": expect.group,
               "key": expect.key, "pool": expect.pool, "refuse": expect.refuse,
               "labels": expect.labels}  # fmt: skip
-    for name, value in wanted.items():
+    for name, value in expected.items():
         if name == "refuse" and value == "":
-            value, there = None, True
+            value, is_expected = None, True
         else:
-            there = value is not None
-        if there and found[name] != value:
+            is_expected = value is not None
+        if is_expected and found[name] != value:
             yield f"{name}: found {found[name]!r}, expected {value!r}"
--- a/violetdoor/match/emit.py
+++ b/violetdoor/match/emit.py
@@ -1,4 +1,4 @@
-"""Code out of typed parts: one small function for each condition, output and shared part."""
+"""Code generation: one small Python function for each condition, output and shared expression."""
 
 from __future__ import annotations
 
@@ -7,99 +7,102 @@
 
 from violetdoor.match.typed import Typed, generate_code
 
-LEVELS_MOST = 20  # in one function: Python's own parser takes 200 brackets inside each other
-FUNCTIONS_A_CODE = 500
-PLAIN = (str, int, float, bytes, type(None))
+MAX_NESTING = 20  # levels of the expression in one function; Python's parser accepts 200 nested brackets
+FUNCTIONS_PER_BLOB = 500  # functions compiled into one code object
+INLINE_TYPES = (str, int, float, bytes, type(None))  # constants of these types are written into the code
 
 
 class Emitter:
-    """Collects functions and the tables that they read."""
+    """Collects generated functions and the tables that they read."""
 
     def __init__(self, shared: dict[int, Typed]) -> None:
-        self.slots = {number: slot for slot, number in enumerate(shared)}
+        self.memo_slots = {number: slot for slot, number in enumerate(shared)}
         self.functions: list[str] = []
         self.patterns: list[str] = []
         self.constants: list[Any] = []
-        self.places: dict[tuple[str, Any], int] = {}
-        self.used: set[str] = set()
-        self.sets_used: set[tuple[str, int]] = set()
+        self.constant_indexes: dict[tuple[str, Any], int] = {}
+        self.used_fields: set[str] = set()
+        self.used_sets: set[tuple[str, int]] = set()
         self._helpers = self._names = 0
         for number, node in shared.items():
-            slot = self.slots[number]
+            slot = self.memo_slots[number]
             body = self.code(node, top=True)
             self.functions.append(f"def s{slot}(r, m):\n x = m[{slot}] = {body}\n return x\n")
 
     def function(self, name: str, node: Typed) -> str:
-        """A function that computes a part."""
+        """Define a function that computes a node; return the function's name."""
         return self.define(name, self.code(node))
 
     def define(self, name: str, body: str) -> str:
-        """A function that returns this."""
+        """Define a function that returns an expression; return the function's name."""
         self.functions.append(f"def {name}(r, m):\n return {body}\n")
         return name
 
     def conjunction(self, name: str, terms: tuple[Typed, ...]) -> str | None:
-        """A function that tells whether all terms hold; none where there are none."""
+        """Define a function that tests whether all terms hold; return its name, None without terms."""
         return self.define(name, " and ".join(map(self.code, terms))) if terms else None
 
-    def fresh(self) -> str:
-        """A name that no code has yet."""
+    def new_name(self) -> str:
+        """Return a variable name that is not used yet."""
         self._names += 1
         return f"x{self._names}"
 
     def code(self, node: Typed, top: bool = False, level: int = 0) -> str:
-        """The expression that computes a part."""
-        if node.constant:
+        """Return the expression that computes a node.
+
+        With `top`, a shared node is computed, not read from its memo slot.
+        """
+        if node.is_constant:
             return self.constant(node.value)
         if node.op == "field":
-            self.used.add(node.value[1])
+            self.used_fields.add(node.value[1])
             return f"r[{node.value[0]}]"
-        if node.number in self.slots and not top:
-            slot = self.slots[node.number]
+        if node.node_id in self.memo_slots and not top:
+            slot = self.memo_slots[node.node_id]
             return f"(m[{slot}] if m[{slot}] is not U else s{slot}(r, m))"
-        if level >= LEVELS_MOST:
+        if level >= MAX_NESTING:
             self._helpers += 1
             return self.define(f"h{self._helpers}", self.code(node, top=True)) + "(r, m)"
         args = [self.code(arg, level=level + 1) for arg in node.args]
-        return generate_code(node, args, self.value(node), self.fresh)
+        return generate_code(node, args, self.operand_constant(node), self.new_name)
 
-    def value(self, node: Typed) -> str:
-        """The constant beside a part's operands."""
+    def operand_constant(self, node: Typed) -> str:
+        """Return the code of the constant that a node has besides its operands."""
         if node.value is None:
             return ""
-        kind, held = node.value
+        kind, content = node.value
         match kind:
             case "set":
                 table = "N" if node.op == "in nets" else "S"
-                self.sets_used.add((table, held))
-                return f"{table}[{held}]"
+                self.used_sets.add((table, content))
+                return f"{table}[{content}]"
             case "values":
-                return f"C[{self.place('values', held, frozenset(held))}]"
+                return f"C[{self.constant_index('values', content, frozenset(content))}]"
             case "pattern":
-                if ("pattern", held) not in self.places:
-                    self.places["pattern", held] = len(self.patterns)
-                    self.patterns.append(held)
-                return f"P[{self.places['pattern', held]}]"
+                if ("pattern", content) not in self.constant_indexes:
+                    self.constant_indexes["pattern", content] = len(self.patterns)
+                    self.patterns.append(content)
+                return f"P[{self.constant_indexes['pattern', content]}]"
             case "tokens":
-                return self.constant(held)
-        return repr(held)
+                return self.constant(content)
+        return repr(content)
 
     def constant(self, value: Any) -> str:
-        """A constant where it stands, or in the table where it is no plain one."""
-        if isinstance(value, PLAIN):
+        """Return the code of a constant: its literal, or a reference to the table of constants."""
+        if isinstance(value, INLINE_TYPES):
             return f"({value!r})" if isinstance(value, (int, float)) and value < 0 else repr(value)
-        return f"C[{self.place('constant', repr(value), value)}]"
+        return f"C[{self.constant_index('constant', repr(value), value)}]"
 
-    def place(self, kind: str, key: Any, value: Any) -> int:
-        """Where a constant stands in the table."""
+    def constant_index(self, kind: str, key: Any, value: Any) -> int:
+        """Return the index of a constant in the table; add the constant if it is missing."""
         key = (kind, repr(key))
-        if key not in self.places:
-            self.places[key] = len(self.constants)
+        if key not in self.constant_indexes:
+            self.constant_indexes[key] = len(self.constants)
             self.constants.append(value)
-        return self.places[key]
+        return self.constant_indexes[key]
 
-    def compiled(self) -> list[bytes]:
-        """All functions as code that a process of the same Python takes in."""
-        parts = range(0, len(self.functions), FUNCTIONS_A_CODE)
-        texts = ["".join(self.functions[n : n + FUNCTIONS_A_CODE]) for n in parts]
+    def compile_functions(self) -> list[bytes]:
+        """Return all functions as marshalled code objects, for processes of the same Python version."""
+        parts = range(0, len(self.functions), FUNCTIONS_PER_BLOB)
+        texts = ["".join(self.functions[n : n + FUNCTIONS_PER_BLOB]) for n in parts]
         return [marshal.dumps(compile(text, "<rules>", "exec", optimize=2)) for text in texts]
--- a/violetdoor/match/explain.py
+++ b/violetdoor/match/explain.py
@@ -1,6 +1,6 @@
-"""Why the rules decide as they do.
+"""Explains a decision.
 
-For one request, each rule before the one that matched and the term that failed.
+For one request, lists each rule before the one that matched, with the term that failed.
 """
 
 from __future__ import annotations
@@ -11,42 +11,42 @@
 
 from violetdoor.match import tree
 from violetdoor.match.emit import Emitter
-from violetdoor.match.faults import Span, shown
-from violetdoor.match.load import Checked, Loaded
+from violetdoor.match.faults import Span, excerpt
+from violetdoor.match.load import CheckedRule, Loaded
 from violetdoor.match.runtime import ENVIRONMENT, PrefixTable, Request, Verdict, compile_pattern
 from violetdoor.match.typed import Typed
 from violetdoor.match.types import ADDRESS, format_address
 
-VALUES_MOST = 4  # operands that are shown of one term
+MAX_SHOWN_OPERANDS = 4  # of one term
 
 
 @dataclass(slots=True)
 class Step:
-    """One rule that was looked at: whether it matched, else the term that did not hold and its operands."""
+    """One rule that was evaluated: whether it matched, else the term that failed and its operands."""
 
     rule: str
     line: int
     matched: bool
     term: str = ""
     values: list[str] = field(default_factory=list)
-    looked_up: bool = False  # the compiled rules do not even test it for this request
+    looked_up: bool = False  # a look-up excludes the rule for this request: the compiled rules do not test it
     cost_us: float = 0.0
 
 
 @dataclass(slots=True)
 class Explanation:
-    """What decided a request."""
+    """The verdict on a request, and the rules that were evaluated for it."""
 
     verdict: Verdict
     steps: list[Step]
-    cost_us: float  # of the whole set at the worst
-    tested_rules: int  # rules that were tested one by one, after the look-ups
+    cost_us: float  # worst case of the whole set
+    tested_rules: int  # rules that no look-up excluded
     failure: str = ""
 
 
 def conjuncts(node: tree.Node) -> Iterator[tree.Node]:
-    """The parts of a condition that must all hold, as they are written."""
-    if isinstance(node, tree.Apply) and node.op == "and":
+    """Yield the terms of a condition that must all hold, as written in the source."""
+    if isinstance(node, tree.Operation) and node.op == "and":
         for arg in node.args:
             yield from conjuncts(arg)
     else:
@@ -54,108 +54,108 @@
 
 
 class Evaluator:
-    """Computes any checked part for a request."""
+    """Evaluates any checked expression on a request."""
 
     def __init__(self, loaded: Loaded) -> None:
         self.loaded = loaded
         sets = loaded.checker.sets
-        self.space: dict[str, Any] = dict(ENVIRONMENT) | {"S": sets.texts, "N": [], "V": Verdict}
-        for members in sets.nets:
+        self.namespace: dict[str, Any] = dict(ENVIRONMENT) | {"S": sets.string_sets, "N": [], "V": Verdict}
+        for members in sets.prefix_sets:
             nets = PrefixTable()
             for _ in nets.fill((address, length, True) for address, length in members):
                 pass
-            self.space["N"].append(nets)
+            self.namespace["N"].append(nets)
 
     def value(self, node: Typed, request: Request) -> Any:
-        """The value of a part."""
+        """Return the value of a node."""
         emitter = Emitter({})
         emitter.function("value", node)
-        space = dict(self.space)
-        space["P"] = [compile_pattern(p) for p in emitter.patterns]
-        space["C"] = emitter.constants
-        exec("".join(emitter.functions), space)
-        return space["value"](request, [])
+        namespace = dict(self.namespace)
+        namespace["P"] = [compile_pattern(p) for p in emitter.patterns]
+        namespace["C"] = emitter.constants
+        exec("".join(emitter.functions), namespace)
+        return namespace["value"](request, [])
 
 
 def explain(loaded: Loaded, request: Request) -> Explanation:
-    """Follow one request through all rules up to the one that decides it."""
+    """Evaluate the rules on a request, up to the one that decides it."""
     ready = loaded.build()
     evaluator = Evaluator(loaded)
-    candidates = set(ready.candidates(request, [*ready._blank]))
+    candidates = set(ready.candidates(request, [*ready._empty_memo]))
     verdict = ready.decide(request)
     steps: list[Step] = []
     tested = 0
-    for n, checked in enumerate(loaded.rules):
-        step = _step(loaded, evaluator, checked, request)
-        step.looked_up = n not in candidates
+    for index, checked in enumerate(loaded.rules):
+        step = _explain_rule(loaded, evaluator, checked, request)
+        step.looked_up = index not in candidates
         tested += not step.looked_up
         steps.append(step)
         if step.matched:
             break
     else:
-        line, _ = loaded.faults.place(loaded.default.offset)
+        line, _ = loaded.faults.position(loaded.default.offset)
         steps.append(Step("default", line, True))
     return Explanation(verdict, steps, ready.cost_ns / 1000, tested, ready.last_failure)
 
 
-def _step(loaded: Loaded, evaluator: Evaluator, checked: Checked, request: Request) -> Step:
-    line, _ = loaded.faults.place(checked.offset)
-    step = Step(checked.name, line, True, cost_us=checked.cost / 1000)
+def _explain_rule(loaded: Loaded, evaluator: Evaluator, checked: CheckedRule, request: Request) -> Step:
+    line, _ = loaded.faults.position(checked.offset)
+    step = Step(checked.name, line, True, cost_us=checked.cost_ns / 1000)
     assert checked.rule.when is not None
     for node in conjuncts(checked.rule.when):
         loaded.checker.offset = checked.offset
         typed = loaded.checker.check(node)
         try:
-            held = evaluator.value(typed, request)
+            holds = evaluator.value(typed, request)
         except (OverflowError, ZeroDivisionError) as err:
-            held, step.values = False, [f"fails: {err}"]
-        if not held:
+            holds, step.values = False, [f"fails: {err}"]
+        if not holds:
             step.matched = False
-            step.term = shown(_text(loaded, node.span, checked.offset))[1:-1]
+            step.term = excerpt(_source_text(loaded, node.span, checked.offset))[1:-1]
             step.values += list(_operands(loaded, evaluator, node, checked.offset, request))
             break
     return step
 
 
-def _text(loaded: Loaded, span: Span, offset: int) -> str:
+def _source_text(loaded: Loaded, span: Span, offset: int) -> str:
     return loaded.text[span.start + offset : span.end + offset]
 
 
 def _operands(
     loaded: Loaded, evaluator: Evaluator, node: tree.Node, offset: int, request: Request
 ) -> Iterator[str]:
-    """The values that a term was about: of names and look-ups in it that are no constants."""
-    todo, seen = [node], set[str]()
-    while todo and len(seen) < VALUES_MOST:
-        at = todo.pop(0)
-        match at:
-            case tree.Apply(op=op, args=args) if op not in ("index", "lower", "split", "token"):
-                todo += args
+    """Yield the values of the names and look-ups in a term, constants excepted."""
+    pending, seen = [node], set[str]()
+    while pending and len(seen) < MAX_SHOWN_OPERANDS:
+        current = pending.pop(0)
+        match current:
+            case tree.Operation(op=op, args=args) if op not in ("index", "lower", "split", "token"):
+                pending += args
                 continue
-            case tree.Apply() | tree.Name():
+            case tree.Operation() | tree.Name():
                 pass
-            case tree.Items(items=items):
-                todo += items
+            case tree.ListLiteral(items=items):
+                pending += items
                 continue
             case _:
                 continue
-        text = _text(loaded, at.span, offset)
-        typed = loaded.checker.check(at)
-        if text in seen or typed.constant or typed.op == "set":
+        text = _source_text(loaded, current.span, offset)
+        typed = loaded.checker.check(current)
+        if text in seen or typed.is_constant or typed.op == "set":
             continue
         seen.add(text)
         try:
             value = evaluator.value(typed, request)
         except (OverflowError, ZeroDivisionError):
             continue
-        yield f"{text} is {'missing' if value is None else _shown(typed, value)}"
+        yield f"{text} is {'missing' if value is None else _format_value(typed, value)}"
 
 
-def _shown(typed: Typed, value: Any) -> str:
+def _format_value(typed: Typed, value: Any) -> str:
     return (
         format_address(value)
-        if typed.type.inner == ADDRESS
-        else shown(str(value))
+        if typed.type.base == ADDRESS
+        else excerpt(str(value))
         if isinstance(value, str)
         else str(value)
     )
--- a/violetdoor/match/faults.py
+++ b/violetdoor/match/faults.py
@@ -1,17 +1,17 @@
-"""Faults in a rules file: each with its place, what stood there and what was expected."""
+"""Faults in a rules file: position, what was found and what was expected."""
 
 from __future__ import annotations
 
 from bisect import bisect_right
 from dataclasses import dataclass, field
 
-FAULTS_MOST = 100  # that are written out; the rest is counted
-SHOWN_MOST = 60  # characters of what stood there
+MAX_REPORTED_FAULTS = 100  # further faults are only counted
+MAX_EXCERPT_CHARS = 60  # of source text quoted in a fault
 
 
 @dataclass(slots=True, frozen=True)
 class Span:
-    """A part of the source, in characters from its start."""
+    """A range of the source, as character offsets from its start."""
 
     start: int
     end: int
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault; line and column count from 1."""
+    """One fault; `line` and `column` count from 1."""
 
     file: str
     line: int
@@ -32,63 +32,63 @@
         return f"{self.file}:{self.line}:{self.column}:{found} {self.expected}"
 
 
-def shown(text: str) -> str:
-    """A piece of the source as it is shown: one line, bounded, nothing that a terminal would act on."""
+def excerpt(text: str) -> str:
+    """Return source text for display: on one line, shortened, with control characters escaped."""
     text = " ".join(text.split())
-    if len(text) > SHOWN_MOST:
-        text = text[: SHOWN_MOST - 3] + "..."
+    if len(text) > MAX_EXCERPT_CHARS:
+        text = text[: MAX_EXCERPT_CHARS - 3] + "..."
     return repr(text)
 
 
 class RulesError(Exception):
-    """The rules do not load; `faults` has all that is wrong, in the order of their places."""
+    """Rules do not load; `faults` lists why, by position, and `omitted_count` counts those not listed."""
 
-    def __init__(self, faults: list[Fault], left_out: int = 0) -> None:
-        self.faults, self.left_out = faults, left_out
-        lines = [str(f) for f in faults] + ([f"and {left_out} more faults"] if left_out else [])
+    def __init__(self, faults: list[Fault], omitted_count: int = 0) -> None:
+        self.faults, self.omitted_count = faults, omitted_count
+        lines = [str(f) for f in faults] + ([f"and {omitted_count} more faults"] if omitted_count else [])
         super().__init__("\n".join(lines))
 
 
 @dataclass(slots=True)
 class Faults:
-    """Collects the faults of one source; `line` and `column` say where in its file the source begins."""
+    """Collects the faults of one source, which begins at `first_line` and `first_column` of its file."""
 
     file: str
     text: str
-    line: int = 1
-    column: int = 1
-    found: dict[tuple[int, str], Fault] = field(default_factory=dict)
-    left_out: int = 0
-    starts: list[int] = field(default_factory=list)
+    first_line: int = 1
+    first_column: int = 1
+    by_key: dict[tuple[int, str], Fault] = field(default_factory=dict)  # key: offset and expected text
+    omitted_count: int = 0
+    line_starts: list[int] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.starts = [0]
-        at = self.text.find("\n")
-        while at >= 0:
-            self.starts.append(at + 1)
-            at = self.text.find("\n", at + 1)
-
-    def place(self, offset: int) -> tuple[int, int]:
-        """Line and column of an offset, in the file that the source stands in."""
-        row = bisect_right(self.starts, offset) - 1
-        column = offset - self.starts[row] + 1
-        return row + self.line, column + (self.column - 1 if row == 0 else 0)
+        self.line_starts = [0]
+        newline = self.text.find("\n")
+        while newline >= 0:
+            self.line_starts.append(newline + 1)
+            newline = self.text.find("\n", newline + 1)
+
+    def position(self, offset: int) -> tuple[int, int]:
+        """Return line and column of a source offset in the source's file."""
+        row = bisect_right(self.line_starts, offset) - 1
+        column = offset - self.line_starts[row] + 1
+        return row + self.first_line, column + (self.first_column - 1 if row == 0 else 0)
 
     def add(self, span: Span, expected: str, found: str | None = None) -> None:
-        """Note a fault; the same one twice counts once."""
-        if (span.start, expected) in self.found:
+        """Record a fault, unless the same one is recorded already."""
+        if (span.start, expected) in self.by_key:
             return
-        if len(self.found) >= FAULTS_MOST:
-            self.left_out += 1
+        if len(self.by_key) >= MAX_REPORTED_FAULTS:
+            self.omitted_count += 1
             return
-        line, column = self.place(span.start)
-        what = shown(self.text[span.start : span.end]) if found is None else found
-        self.found[span.start, expected] = Fault(self.file, line, column, what, expected)
-
-    def check(self, *others: Faults) -> None:
-        """Raise them all together, with those of other files, if there are any."""
-        held = (self, *others)
-        found = [f.found[k] for f in held for k in sorted(f.found)]
+        line, column = self.position(span.start)
+        what = excerpt(self.text[span.start : span.end]) if found is None else found
+        self.by_key[span.start, expected] = Fault(self.file, line, column, what, expected)
+
+    def raise_if_any(self, *others: Faults) -> None:
+        """Raise RulesError with all recorded faults, those of other files included, if there are any."""
+        sources = (self, *others)
+        found = [f.by_key[k] for f in sources for k in sorted(f.by_key)]
         if found:
-            more = max(0, len(found) - FAULTS_MOST) + sum(f.left_out for f in held)
-            raise RulesError(found[:FAULTS_MOST], more)
+            omitted_count = max(0, len(found) - MAX_REPORTED_FAULTS) + sum(f.omitted_count for f in sources)
+            raise RulesError(found[:MAX_REPORTED_FAULTS], omitted_count)
--- a/violetdoor/match/grammar.py
+++ b/violetdoor/match/grammar.py
@@ -1,8 +1,8 @@
-"""The language's grammar, and the parser that makes trees of it.
+"""Grammar and parser of the rule language.
 
-Each item of a file begins a line with its keyword, so a fault in one item hides none in the others: the
-parser goes on at the next. The grammar is LALR(1), the parser's stack is no recursion, and a tree over its
-depth is cut where it is built: no text makes the program run out of stack.
+Each item of a file starts with its keyword at the beginning of a line, so that a fault in one item does not
+hide faults in others: the parser continues at the next item. No text can exhaust the stack: the grammar is
+LALR(1), its parser does not recurse, and a tree that exceeds the depth limit is rejected while it is built.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 from lark import Lark, Token, Tree, UnexpectedCharacters, UnexpectedToken
 
 from violetdoor.match import types as t
-from violetdoor.match.faults import Faults, Span, shown
+from violetdoor.match.faults import Faults, Span, excerpt
 from violetdoor.match.tree import (
-    Apply,
     Define,
-    Items,
     Let,
+    ListLiteral,
     Literal,
+    MapLiteral,
     Name,
     NamedSet,
     Node,
+    Operation,
     Output,
-    Pairs,
     Rule,
     Source,
 )
 
-DEPTH_MOST = 64  # levels of one expression, named ones that it uses included
-SOURCE_MOST = 8 << 20  # characters of one source
-LITERAL_MOST = 1024  # characters of one string
+MAX_DEPTH = 64  # levels of one expression, including the named expressions that it uses
+MAX_SOURCE_CHARS = 8 << 20  # of one rules file
+MAX_LITERAL_CHARS = 1024  # of one string literal
 
 GRAMMAR = r"""
 item: set_ | define | rule | default
@@ -101,13 +101,13 @@
 %ignore COMMENT
 """
 
-WORDS = {
+TERMINAL_DESCRIPTIONS = {
     "NAME": "a name", "STRING": "a string", "RAW": "a raw string", "INT": "a number", "FLOAT": "a number",
     "DURATION": "a duration", "BYTES": "a size", "COMPARE": "a comparison", "PLUS": "+ or -",
     "TIMES": "*, / or %", "KIND": "strings or prefixes", "OUTPUT": "class, tenant, group, key or pool",
     "$END": "the end of the item",
 }  # fmt: skip
-VALUES = {
+VALUE_TERMINALS = {
     "NAME",
     "STRING",
     "RAW",
@@ -121,31 +121,31 @@
     "TRUE",
     "FALSE",
 }
-UNITS = {"us": 1, "ms": 1000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
-SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
+DURATION_UNITS = {"us": 1, "ms": 1000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
+SIZE_UNITS = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
 ESCAPES = {"n": "\n", "t": "\t", "r": "\r", '"': '"', "\\": "\\", "0": "\0"}
-BEGIN = re.compile(r"^[ \t]*(?=(?:set|define|rule|default)\b)", re.MULTILINE)
-BLANK = re.compile(r"(?:\s+|#[^\n]*)*")
+ITEM_START = re.compile(r"^[ \t]*(?=(?:set|define|rule|default)\b)", re.MULTILINE)
+BLANK_OR_COMMENT = re.compile(r"(?:\s+|#[^\n]*)*")
 
 
-class _FaultyError(Exception):
+class _SyntaxFaultError(Exception):
     def __init__(self, span: Span, expected: str) -> None:
         super().__init__(expected)
         self.span, self.expected = span, expected
 
 
 def _unescape(text: str, span: Span) -> str:
-    def one(found: re.Match[str]) -> str:
+    def replacement(found: re.Match[str]) -> str:
         code = found[1]
         if code[0] == "u" and len(code) > 1:
             return chr(int(code[1:], 16))
         if code not in ESCAPES:
-            raise _FaultyError(span, rf"unknown escape \{code}; expected \n \t \r \0 \" \\ or \uXXXX")
+            raise _SyntaxFaultError(span, rf"unknown escape \{code}; expected \n \t \r \0 \" \\ or \uXXXX")
         return ESCAPES[code]
 
-    value = re.sub(r"\\(u[0-9a-fA-F]{4}|.)", one, text)
+    value = re.sub(r"\\(u[0-9a-fA-F]{4}|.)", replacement, text)
     if any("\ud800" <= c <= "\udfff" for c in value):
-        raise _FaultyError(span, "half of a surrogate pair is no character")
+        raise _SyntaxFaultError(span, "a lone surrogate is not a character")
     return value
 
 
@@ -153,18 +153,20 @@
     return Span(getattr(meta, "start_pos", 0), getattr(meta, "end_pos", 0))
 
 
-def _made(kind: Any, meta: Any, children: list[Node], *values: Any) -> Any:
+def _make_node(kind: Any, meta: Any, children: list[Node], *values: Any) -> Any:
     depth = 1 + max((c.depth for c in children), default=0)
-    if depth > DEPTH_MOST:
-        raise _FaultyError(_span(meta), f"nested over {DEPTH_MOST} levels deep; name parts of it by define")
+    if depth > MAX_DEPTH:
+        raise _SyntaxFaultError(
+            _span(meta), f"nested over {MAX_DEPTH} levels deep; name parts of it by define"
+        )
     return kind(_span(meta), depth, *values)
 
 
 class _Builder:
-    """Makes a node of each reduction; its methods are named as the grammar's rules are."""
+    """Builds a syntax tree from a parse tree; the public methods are named after the grammar's rules."""
 
     def build(self, tree: Any) -> Any:
-        """The node of a whole parse tree, without recursion."""
+        """Return the node of a complete parse tree; does not recurse."""
         todo, done = [(tree, False)], list[Any]()
         while todo:
             node, ready = todo.pop()
@@ -180,8 +182,8 @@
         return done[0]
 
     def _literal(self, meta: Any, kind: t.Type, value: Any) -> Literal:
-        if kind in t.WHOLE and not value <= t.INT_HIGH:
-            raise _FaultyError(_span(meta), f"too large; expected at most {t.INT_HIGH}")
+        if kind in t.INTEGER_TYPES and not value <= t.MAX_INT:
+            raise _SyntaxFaultError(_span(meta), f"too large; expected at most {t.MAX_INT}")
         return Literal(_span(meta), 1, kind, value)
 
     def true(self, meta: Any, _: list[Token]) -> Literal:
@@ -191,38 +193,40 @@
         return self._literal(meta, t.BOOL, False)
 
     def string(self, meta: Any, c: list[Token]) -> Literal:
-        return self._literal(meta, t.STRING, self.text(c[0]))
+        return self._literal(meta, t.STRING, self.string_value(c[0]))
 
-    def text(self, token: Token) -> str:
+    def string_value(self, token: Token) -> str:
         span = Span(token.start_pos or 0, token.end_pos or 0)
-        if len(token) > LITERAL_MOST + 2:
-            raise _FaultyError(span, f"a string over {LITERAL_MOST} characters")
+        if len(token) > MAX_LITERAL_CHARS + 2:
+            raise _SyntaxFaultError(span, f"a string over {MAX_LITERAL_CHARS} characters")
         return _unescape(token[1:-1], span)
 
     def raw(self, meta: Any, c: list[Token]) -> Literal:
-        if len(c[0]) > LITERAL_MOST + 3:
-            raise _FaultyError(_span(meta), f"a string over {LITERAL_MOST} characters")
+        if len(c[0]) > MAX_LITERAL_CHARS + 3:
+            raise _SyntaxFaultError(_span(meta), f"a string over {MAX_LITERAL_CHARS} characters")
         return self._literal(meta, t.STRING, str(c[0][2:-1]))
 
-    def _number(self, meta: Any, digits: str) -> str:
-        if len(digits) > 30:  # guards against a number whose reading alone takes long
-            raise _FaultyError(_span(meta), f"too large; expected at most {t.INT_HIGH}")
+    def _checked_digits(self, meta: Any, digits: str) -> str:
+        if len(digits) > 30:  # guards against a number that takes long to convert
+            raise _SyntaxFaultError(_span(meta), f"too large; expected at most {t.MAX_INT}")
         return digits
 
     def duration(self, meta: Any, c: list[Token]) -> Literal:
         digits = c[0].rstrip("umsh")
-        value = round(float(self._number(meta, digits)) * UNITS[c[0][len(digits) :]])
+        value = round(float(self._checked_digits(meta, digits)) * DURATION_UNITS[c[0][len(digits) :]])
         return self._literal(meta, t.DURATION, value)
 
     def bytesize(self, meta: Any, c: list[Token]) -> Literal:
         digits = c[0].rstrip("BKMGi")
-        return self._literal(meta, t.SIZE, int(self._number(meta, digits)) * SIZES[c[0][len(digits) :]])
+        return self._literal(
+            meta, t.SIZE, int(self._checked_digits(meta, digits)) * SIZE_UNITS[c[0][len(digits) :]]
+        )
 
     def float(self, meta: Any, c: list[Token]) -> Literal:
-        return self._literal(meta, t.FLOAT, float(self._number(meta, str(c[0]))))
+        return self._literal(meta, t.FLOAT, float(self._checked_digits(meta, str(c[0]))))
 
     def integer(self, meta: Any, c: list[Token]) -> Literal:
-        return self._literal(meta, t.INT, int(self._number(meta, str(c[0]))))
+        return self._literal(meta, t.INT, int(self._checked_digits(meta, str(c[0]))))
 
     def name(self, meta: Any, c: list[Token]) -> Name:
         return Name(_span(meta), 1, str(c[0]))
@@ -230,25 +234,25 @@
     def group(self, meta: Any, c: list[Node]) -> Node:
         return c[0]
 
-    def _apply(self, meta: Any, op: str, args: list[Any]) -> Apply:
-        return cast(Apply, _made(Apply, meta, args, op, tuple(args)))
+    def _apply(self, meta: Any, op: str, args: list[Any]) -> Operation:
+        return cast(Operation, _make_node(Operation, meta, args, op, tuple(args)))
 
-    def call(self, meta: Any, c: list[Any]) -> Apply:
+    def call(self, meta: Any, c: list[Any]) -> Operation:
         return self._apply(meta, str(c[0]), [a for a in c[1:] if a is not None])
 
-    def or_(self, meta: Any, c: list[Any]) -> Apply:
+    def or_(self, meta: Any, c: list[Any]) -> Operation:
         return self._apply(meta, "or", c)
 
-    def and_(self, meta: Any, c: list[Any]) -> Apply:
+    def and_(self, meta: Any, c: list[Any]) -> Operation:
         return self._apply(meta, "and", c)
 
-    def not_(self, meta: Any, c: list[Any]) -> Apply:
+    def not_(self, meta: Any, c: list[Any]) -> Operation:
         return self._apply(meta, "not", c)
 
-    def compare(self, meta: Any, c: list[Any]) -> Apply:
+    def compare(self, meta: Any, c: list[Any]) -> Operation:
         return self._apply(meta, str(c[1]), [c[0], c[2]])
 
-    def not_in(self, meta: Any, c: list[Any]) -> Apply:
+    def not_in(self, meta: Any, c: list[Any]) -> Operation:
         return self._apply(meta, "not", [self._apply(meta, "in", c)])
 
     def coalesce(self, meta: Any, c: list[Any]) -> Any:
@@ -257,42 +261,42 @@
             node = self._apply(meta, "??", [left, node])
         return node
 
-    def binary(self, meta: Any, c: list[Any]) -> Apply:
+    def binary(self, meta: Any, c: list[Any]) -> Operation:
         return self._apply(meta, str(c[1]), [c[0], c[2]])
 
     def negative(self, meta: Any, c: list[Any]) -> Node:
-        if isinstance(c[0], Literal) and c[0].type in t.NUMBERS:
+        if isinstance(c[0], Literal) and c[0].type in t.NUMERIC_TYPES:
             return Literal(_span(meta), 1, c[0].type, -c[0].value)
         return self._apply(meta, "negative", c)
 
-    def index(self, meta: Any, c: list[Any]) -> Apply:
+    def index(self, meta: Any, c: list[Any]) -> Operation:
         return self._apply(meta, "index", c)
 
-    def choice(self, meta: Any, c: list[Any]) -> Apply:
+    def choice(self, meta: Any, c: list[Any]) -> Operation:
         return self._apply(meta, "if", c)
 
     def let(self, meta: Any, c: list[Any]) -> Let:
-        return cast(Let, _made(Let, meta, c[1:], str(c[0]), c[1], c[2]))
+        return cast(Let, _make_node(Let, meta, c[1:], str(c[0]), c[1], c[2]))
 
-    def items(self, meta: Any, c: list[Any]) -> Items:
+    def items(self, meta: Any, c: list[Any]) -> ListLiteral:
         items = [a for a in c if a is not None]
-        return cast(Items, _made(Items, meta, items, tuple(items)))
+        return cast(ListLiteral, _make_node(ListLiteral, meta, items, tuple(items)))
 
     def pair(self, meta: Any, c: list[Any]) -> tuple[Node, Node]:
         return c[0], c[1]
 
-    def pairs(self, meta: Any, c: list[Any]) -> Pairs:
+    def pairs(self, meta: Any, c: list[Any]) -> MapLiteral:
         pairs = [a for a in c if a is not None]
-        return cast(Pairs, _made(Pairs, meta, [n for p in pairs for n in p], tuple(pairs)))
+        return cast(MapLiteral, _make_node(MapLiteral, meta, [n for p in pairs for n in p], tuple(pairs)))
 
     def members(self, meta: Any, c: list[Any]) -> tuple[tuple[str, Span], ...]:
         found = [a for a in c if a is not None]
-        return tuple((self.text(a), Span(a.start_pos or 0, a.end_pos or 0)) for a in found)
+        return tuple((self.string_value(a), Span(a.start_pos or 0, a.end_pos or 0)) for a in found)
 
     def set_(self, meta: Any, c: list[Any]) -> NamedSet:
         if isinstance(c[2], tuple):
             return NamedSet(_span(meta), str(c[0]), str(c[1]), members=c[2])
-        return NamedSet(_span(meta), str(c[0]), str(c[1]), file=self.text(c[2]))
+        return NamedSet(_span(meta), str(c[0]), str(c[1]), file=self.string_value(c[2]))
 
     def define(self, meta: Any, c: list[Any]) -> Define:
         return Define(_span(meta), str(c[0]), c[1])
@@ -310,7 +314,7 @@
         return Output(_span(meta), "refuse", c[0])
 
     def rule(self, meta: Any, c: list[Any]) -> Rule:
-        return Rule(_span(meta), self.text(c[0]), c[1], c[2])
+        return Rule(_span(meta), self.string_value(c[0]), c[1], c[2])
 
     def default(self, meta: Any, c: list[Any]) -> Rule:
         return Rule(_span(meta), "default", None, c[0])
@@ -324,27 +328,31 @@
     return Lark(GRAMMAR, start=start, parser="lalr", propagate_positions=True, maybe_placeholders=True)
 
 
-def _words(expected: set[str]) -> str:
+def _describe_expected(expected: set[str]) -> str:
     if expected >= {"NAME", "INT", "STRING"}:
-        expected = (expected - VALUES - {"IF", "LET", "NOT", "MINUS", "PLUS"}) | {"a value"}
+        expected = (expected - VALUE_TERMINALS - {"IF", "LET", "NOT", "MINUS", "PLUS"}) | {"a value"}
     if {"PLUS", "TIMES"} <= expected:
         expected = (expected - {"PLUS", "TIMES", "COMPARE", "AND", "OR", "NOT", "__ANON_0", "LSQB"}) | {
             "an operator"
         }
     terminals = {term.name: term for term in _parser("item").terminals}
 
-    def word(name: str) -> str:
+    def describe(name: str) -> str:
         pattern = terminals[name].pattern if name in terminals else None
-        return WORDS.get(name) or (repr(pattern.value) if pattern and pattern.type == "str" else name)
+        return TERMINAL_DESCRIPTIONS.get(name) or (
+            repr(pattern.value) if pattern and pattern.type == "str" else name
+        )
 
-    words = sorted(map(word, expected))
+    descriptions = sorted(map(describe, expected))
     return "expected " + (
-        " or ".join(words) if len(words) < 3 else ", ".join(words[:-1]) + " or " + words[-1]
+        " or ".join(descriptions)
+        if len(descriptions) < 3
+        else ", ".join(descriptions[:-1]) + " or " + descriptions[-1]
     )
 
 
-class _Offset:
-    """Adds an item's place in its file to the places within it, for the parts that are kept."""
+class _ItemParser:
+    """Parses the text of one item; faults get their position in the file by adding the item's offset."""
 
     def __init__(self, faults: Faults, offset: int) -> None:
         self.faults, self.offset = faults, offset
@@ -353,53 +361,59 @@
         return Span(span.start + self.offset, span.end + self.offset)
 
     def parse(self, text: str, start: str) -> Any:
-        """The tree of a text, or None once its fault is noted."""
+        """Return the tree of a text, None if it has a fault, which is recorded."""
         try:
             return _Builder().build(_parser(start).parse(text))
         except UnexpectedToken as err:
             at = err.token.start_pos if err.token.type != "$END" else len(text.rstrip())
-            found = shown(str(err.token)) if err.token.type != "$END" else "the end"
+            found = excerpt(str(err.token)) if err.token.type != "$END" else "the end"
             end = err.token.end_pos or 0
-            self.faults.add(self.span(Span(at or 0, end)), _words(set(err.accepts or err.expected)), found)
+            self.faults.add(
+                self.span(Span(at or 0, end)), _describe_expected(set(err.accepts or err.expected)), found
+            )
         except UnexpectedCharacters as err:
             at = err.pos_in_stream or 0
             what = '"' if text[at] == '"' else ""
             expected = "a string that ends on its line" if what else "a character of the language"
             self.faults.add(self.span(Span(at, at + 1)), f"expected {expected}")
-        except _FaultyError as err:
+        except _SyntaxFaultError as err:
             self.faults.add(self.span(err.span), err.expected)
         return None
 
 
 def parse_expression(text: str, faults: Faults) -> Node | None:
-    """One expression alone; None once its faults are noted."""
-    found = _Offset(faults, 0).parse(text, "expr")
+    """Return the tree of a single expression, None if it has a fault, which is recorded."""
+    found = _ItemParser(faults, 0).parse(text, "expr")
     return found if isinstance(found, Node) else None
 
 
 def parse(text: str, faults: Faults) -> list[tuple[int, Any]]:
-    """The items of a rules file, each with its place; what does not parse is noted and left out."""
-    if len(text) > SOURCE_MOST:
-        faults.add(Span(SOURCE_MOST, SOURCE_MOST + 1), f"over {SOURCE_MOST} characters", "a longer text")
+    """Return the items of a rules file with their offsets; faults of others are recorded."""
+    if len(text) > MAX_SOURCE_CHARS:
+        faults.add(
+            Span(MAX_SOURCE_CHARS, MAX_SOURCE_CHARS + 1),
+            f"over {MAX_SOURCE_CHARS} characters",
+            "a longer text",
+        )
         return []
-    starts = [m.start() for m in BEGIN.finditer(text)]
-    blank = BLANK.match(text)
+    starts = [m.start() for m in ITEM_START.finditer(text)]
+    blank = BLANK_OR_COMMENT.match(text)
     first = blank.end() if blank else 0
     if first < (starts[0] if starts else len(text)):
         line_end = text.find("\n", first)
         span = Span(first, line_end if line_end >= 0 else len(text))
         faults.add(span, "expected set, define, rule or default at the start of a line")
     items = []
-    # Without any start the one end is left over.
+    # The list of ends has one entry more than `starts` if there is no item.
     for start, end in zip(starts, [*starts[1:], len(text)], strict=False):
-        item = _Offset(faults, start).parse(text[start:end], "item")
+        item = _ItemParser(faults, start).parse(text[start:end], "item")
         if item is not None:
             items.append((start, item))
     return items
 
 
-def sorted_out(items: list[tuple[int, Any]]) -> tuple[Source, dict[int, int]]:
-    """The items by kind, and where in the file each one's places count from, by its identity."""
+def group_items(items: list[tuple[int, Any]]) -> tuple[Source, dict[int, int]]:
+    """Return the items by kind, and each item's offset in the file by the `id()` of the item."""
     source, offsets = Source(), {}
     for start, item in items:
         offsets[id(item)] = start
--- a/violetdoor/match/plan.py
+++ b/violetdoor/match/plan.py
@@ -1,4 +1,4 @@
-"""Which rules a look-up can leave out, which can never match, and what the whole set costs at the worst."""
+"""Planning: look-ups that exclude rules, rules that are unreachable, and the worst-case cost of the set."""
 
 from __future__ import annotations
 
@@ -8,123 +8,123 @@
 from itertools import combinations
 from typing import Any
 
-from violetdoor.match.check import Sets, alternatives
+from violetdoor.match.check import Sets, constant_alternatives
 from violetdoor.match.typed import Typed
 
-GROUP_FROM = 4  # rules that test one value from which a look-up is worth its price
-LENGTHS_MOST = 24  # different lengths of prefixes in one look-up
-ENTRIES_MOST = 2_000_000  # of all look-ups together
-TERMS_MOST = 6  # of a rule, up to which it is compared with the parts of all rules before
+MIN_GROUP_RULES = 4  # fewest rules testing the same value for which a look-up is worth its cost
+MAX_PREFIX_LENGTHS = 24  # different lengths of string prefixes in one look-up
+MAX_LOOKUP_ENTRIES = 2_000_000  # of all look-up tables together
+MAX_SUBSET_TERMS = 6  # rules of more terms are not compared with earlier rules by subsets of their terms
 
 Prefix = tuple[bytes, int]
 
 
 @dataclass(slots=True)
 class RulePlan:
-    """A rule's condition as the terms that must all hold; none hold always."""
+    """A rule's condition as terms that must all hold; without terms it always holds."""
 
     name: str
     terms: tuple[Typed, ...]
-    index: Typed | None = None  # the term that a look-up stands for
+    index_term: Typed | None = None  # the term that a look-up replaces
 
     @property
-    def rest(self) -> tuple[Typed, ...]:
-        """The terms that are left to test."""
-        return tuple(t for t in self.terms if t is not self.index)
+    def remaining_terms(self) -> tuple[Typed, ...]:
+        """The terms that must be tested after the look-up."""
+        return tuple(t for t in self.terms if t is not self.index_term)
 
 
 @dataclass(slots=True)
 class Group:
-    """Rules that are looked up by one value."""
+    """Rules that are looked up by the same value."""
 
-    kind: str  # value, prefix or net
+    kind: str  # "value", "prefix" (of a string) or "net" (address prefix)
     value: Typed
     rules: list[int] = field(default_factory=list)
 
 
-def terms_of(when: Typed) -> tuple[Typed, ...]:
-    """The parts of a condition that must all hold."""
-    if when.constant:
+def split_terms(when: Typed) -> tuple[Typed, ...]:
+    """Return the terms of a condition that must all hold."""
+    if when.is_constant:
         return () if when.value else (when,)
     return when.args if when.op == "and" else (when,)
 
 
 class Planner:
-    """Plans the look-ups of one set of rules."""
+    """Plans the look-ups of a set of rules."""
 
     def __init__(self, rules: list[RulePlan], sets: Sets) -> None:
         self.rules, self.sets = rules, sets
         self.entries = 0
 
-    def keys(self, term: Typed) -> tuple[str, Iterable[Any]] | None:
-        """How a term can be looked up, and by which keys."""
-        if (found := alternatives(term)) is not None:
+    def lookup_keys(self, term: Typed) -> tuple[str, Iterable[Any]] | None:
+        """Return the kind of look-up that can replace a term and its keys, None if no look-up can."""
+        if (found := constant_alternatives(term)) is not None:
             return "value", found[1]
         if term.op == "in set":
-            return "value", self.sets.texts[term.value[1]]
-        if term.op == "starts_with" and term.args[1].constant and term.args[1].value is not None:
+            return "value", self.sets.string_sets[term.value[1]]
+        if term.op == "starts_with" and term.args[1].is_constant and term.args[1].value is not None:
             return "prefix", (term.args[1].value,)
         if term.op == "in nets":
-            return "net", self.sets.nets[term.value[1]]
+            return "net", self.sets.prefix_sets[term.value[1]]
         return None
 
-    def groups(self) -> list[Group]:
-        """Choose for each rule the term by which most others can be looked up with it."""
+    def plan_groups(self) -> list[Group]:
+        """Choose for each rule the term whose look-up it shares with the most other rules."""
         found: dict[tuple[str, int], Group] = {}
-        usable: list[list[tuple[tuple[str, int], Typed]]] = []
-        count: Counter[tuple[str, int]] = Counter()
+        candidates_by_rule: list[list[tuple[tuple[str, int], Typed]]] = []
+        rule_count: Counter[tuple[str, int]] = Counter()
         for rule in self.rules:
-            mine: list[tuple[tuple[str, int], Typed]] = []
+            candidates: list[tuple[tuple[str, int], Typed]] = []
             for term in rule.terms:
-                if keys := self.keys(term):
-                    mine.append(((keys[0], term.args[0].number), term))
-            usable.append(mine)
-            count.update({key for key, _ in mine})
-        for at, mine in enumerate(usable):
-            if not mine:
+                if keys := self.lookup_keys(term):
+                    candidates.append(((keys[0], term.args[0].node_id), term))
+            candidates_by_rule.append(candidates)
+            rule_count.update({key for key, _ in candidates})
+        for index, candidates in enumerate(candidates_by_rule):
+            if not candidates:
                 continue
-            key, term = max(mine, key=lambda m: (count[m[0]], -m[1].number))
-            if count[key] >= GROUP_FROM:
-                found.setdefault(key, Group(key[0], term.args[0])).rules.append(at)
-                self.rules[at].index = term
-        kept = []
+            key, term = max(candidates, key=lambda m: (rule_count[m[0]], -m[1].node_id))
+            if rule_count[key] >= MIN_GROUP_RULES:
+                found.setdefault(key, Group(key[0], term.args[0])).rules.append(index)
+                self.rules[index].index_term = term
+        kept_groups = []
         for group in found.values():
-            self._trim(group)
-            if len(group.rules) < GROUP_FROM:
-                for at in group.rules:
-                    self.rules[at].index = None
+            self._limit_group(group)
+            if len(group.rules) < MIN_GROUP_RULES:
+                for index in group.rules:
+                    self.rules[index].index_term = None
             else:
-                kept.append(group)
-        return kept
+                kept_groups.append(group)
+        return kept_groups
 
-    def _trim(self, group: Group) -> None:
-        """Leave out of a look-up what would make it large or slow."""
+    def _limit_group(self, group: Group) -> None:
+        """Remove the rules from a look-up that would make it too large or too slow."""
         lengths: Counter[int] = Counter()
         if group.kind == "prefix":
-            lengths.update(len(self._keys(at)[0]) for at in group.rules)
-        common = {n for n, _ in lengths.most_common(LENGTHS_MOST)}
-        held = []
-        for at in group.rules:
-            keys = self._keys(at)
-            too_many = self.entries + len(keys) > ENTRIES_MOST
+            lengths.update(len(self._index_keys(index)[0]) for index in group.rules)
+        common = {n for n, _ in lengths.most_common(MAX_PREFIX_LENGTHS)}
+        kept_rules = []
+        for index in group.rules:
+            keys = self._index_keys(index)
+            too_many = self.entries + len(keys) > MAX_LOOKUP_ENTRIES
             if too_many or (group.kind == "prefix" and len(keys[0]) not in common):
-                self.rules[at].index = None
+                self.rules[index].index_term = None
             else:
                 self.entries += len(keys)
-                held.append(at)
-        group.rules = held
+                kept_rules.append(index)
+        group.rules = kept_rules
 
-    def _keys(self, at: int) -> tuple[Any, ...]:
-        term = self.rules[at].index
-        found = self.keys(term) if term else None
+    def _index_keys(self, index: int) -> tuple[Any, ...]:
+        term = self.rules[index].index_term
+        found = self.lookup_keys(term) if term else None
         return tuple(found[1]) if found else ()
 
-    def table(self, group: Group) -> tuple[Any, list[tuple[int, ...]]]:
-        """A group's look-up table, and the rules that each outcome of it leaves to be tested."""
+    def lookup_table(self, group: Group) -> tuple[Any, list[tuple[int, ...]]]:
+        """Return a group's look-up table, and the rules that each of its results leaves to be tested."""
         by_key: dict[Any, list[int]] = defaultdict(list)
-        for at in group.rules:
-            for key in dict.fromkeys(self._keys(at)):
-                by_key[key].append(at)
+        for index in group.rules:
+            for key in dict.fromkeys(self._index_keys(index)):
+                by_key[key].append(index)
         rules = {key: tuple(found) for key, found in by_key.items()}
         if group.kind == "value":
             return rules, list(rules.values())
@@ -132,114 +132,120 @@
             by_length: dict[int, dict[str, tuple[int, ...]]] = defaultdict(dict)
             for key, found in rules.items():
                 by_length[len(key)][key] = found
-            chains = [
+            rules_to_test = [
                 sum((by_length[n].get(key[:n], ()) for n in by_length if n <= len(key)), ()) for key in rules
             ]
-            return sorted(by_length.items()), chains
-        held = Networks()
+            return sorted(by_length.items()), rules_to_test
+        hierarchy = PrefixHierarchy()
         for key in rules:
-            held.add(key)
+            hierarchy.add(key)
         table = []
         for key in rules:
-            above = {at for other in held.above(key) for at in rules[other]}
-            table.append((*key, tuple(sorted(above))))
+            containing = {index for other in hierarchy.containing(key) for index in rules[other]}
+            table.append((*key, tuple(sorted(containing))))
         return table, [found for _, _, found in table]
 
 
-class Networks:
-    """Prefixes by family and length, to find those that hold another."""
+class PrefixHierarchy:
+    """Address prefixes by family and length, to find those that contain another."""
 
     def __init__(self) -> None:
-        self.held: dict[tuple[int, int], set[int]] = defaultdict(set)
+        self.by_length: dict[tuple[int, int], set[int]] = defaultdict(set)
 
     def add(self, prefix: Prefix) -> None:
-        """Take one in."""
+        """Add a prefix."""
         bits = len(prefix[0]) * 8
-        self.held[bits, prefix[1]].add(int.from_bytes(prefix[0], "big") >> (bits - prefix[1]))
+        self.by_length[bits, prefix[1]].add(int.from_bytes(prefix[0], "big") >> (bits - prefix[1]))
 
-    def above(self, prefix: Prefix) -> Iterator[Prefix]:
-        """Those that hold this one, itself too."""
+    def containing(self, prefix: Prefix) -> Iterator[Prefix]:
+        """Yield the added prefixes that contain this one, itself included."""
         bits, number = len(prefix[0]) * 8, int.from_bytes(prefix[0], "big")
-        for (family, length), numbers in self.held.items():
+        for (family, length), numbers in self.by_length.items():
             if family == bits and length <= prefix[1] and (top := number >> (bits - length)) in numbers:
                 yield (top << (bits - length)).to_bytes(bits // 8, "big"), length
 
 
 @dataclass(slots=True)
-class _Covered:
-    """What rules before have taken of one value, whatever else the request is."""
+class _CoveredRequests:
+    """Keys of one value for which an earlier rule always matches, and that rule's name."""
 
-    values: dict[Any, str] = field(default_factory=dict)
-    prefixes: dict[str, str] = field(default_factory=dict)
-    lengths: set[int] = field(default_factory=set)
-    nets: Networks = field(default_factory=Networks)
-    by_net: dict[Prefix, str] = field(default_factory=dict)
+    rules_by_value: dict[Any, str] = field(default_factory=dict)
+    rules_by_string_prefix: dict[str, str] = field(default_factory=dict)
+    string_prefix_lengths: set[int] = field(default_factory=set)
+    hierarchy: PrefixHierarchy = field(default_factory=PrefixHierarchy)
+    rules_by_prefix: dict[Prefix, str] = field(default_factory=dict)
 
-    def taker(self, kind: str, key: Any) -> str:
-        """The rule that takes all requests of this key, or nothing."""
+    def covering_rule(self, kind: str, key: Any) -> str:
+        """Return the rule that matches all requests with this key, or an empty string."""
         if kind == "net":
-            return next((self.by_net[p] for p in self.nets.above(key)), "")
-        if kind == "value" and key in self.values:
-            return self.values[key]
+            return next((self.rules_by_prefix[p] for p in self.hierarchy.containing(key)), "")
+        if kind == "value" and key in self.rules_by_value:
+            return self.rules_by_value[key]
         if isinstance(key, str):
-            for length in self.lengths:
-                if length <= len(key) and key[:length] in self.prefixes:
-                    return self.prefixes[key[:length]]
+            for length in self.string_prefix_lengths:
+                if length <= len(key) and key[:length] in self.rules_by_string_prefix:
+                    return self.rules_by_string_prefix[key[:length]]
         return ""
 
-    def take(self, kind: str, keys: Iterable[Any], rule: str) -> None:
-        """A rule takes all requests of these keys."""
+    def cover(self, kind: str, keys: Iterable[Any], rule: str) -> None:
+        """Record that a rule matches all requests with these keys."""
         for key in keys:
             if kind == "value":
-                self.values.setdefault(key, rule)
+                self.rules_by_value.setdefault(key, rule)
             elif kind == "prefix":
-                self.prefixes.setdefault(key, rule)
-                self.lengths.add(len(key))
+                self.rules_by_string_prefix.setdefault(key, rule)
+                self.string_prefix_lengths.add(len(key))
             else:
-                self.by_net.setdefault(key, rule)
-                self.nets.add(key)
+                self.rules_by_prefix.setdefault(key, rule)
+                self.hierarchy.add(key)
 
 
-def unreachable(planner: Planner) -> Iterator[tuple[int, str]]:
-    """The rules that can never decide, and why."""
-    seen: dict[frozenset[int], str] = {}
-    covered: dict[int, _Covered] = defaultdict(_Covered)
-    for at, rule in enumerate(planner.rules):
-        if any(term.constant for term in rule.terms):
-            yield at, "its condition is never true"
+def unreachable_rules(planner: Planner) -> Iterator[tuple[int, str]]:
+    """Yield the index of each rule that can never decide, and the reason."""
+    rules_by_terms: dict[frozenset[int], str] = {}
+    covered: dict[int, _CoveredRequests] = defaultdict(_CoveredRequests)
+    for index, rule in enumerate(planner.rules):
+        if any(term.is_constant for term in rule.terms):
+            yield index, "its condition is never true"
             continue
-        if reason := _contradiction(planner, rule):
-            yield at, reason
+        if contradiction := _find_contradiction(planner, rule):
+            yield index, contradiction
             continue
-        if (taker := seen.get(frozenset())) or (taker := _taken(planner, rule, covered)):
-            yield at, f"rule {taker!r} before it takes all of its requests"
+        if (earlier_rule := rules_by_terms.get(frozenset())) or (
+            earlier_rule := _covering_rule(planner, rule, covered)
+        ):
+            yield index, f"rule {earlier_rule!r} before it takes all of its requests"
             continue
-        numbers = [term.number for term in rule.terms]
-        few = numbers if len(numbers) <= TERMS_MOST else []
-        parts = [frozenset(c) for n in range(1, len(few) + 1) for c in combinations(few, n)]
-        if taker := next((seen[p] for p in (parts or [frozenset(numbers)]) if p in seen), ""):
-            yield at, f"rule {taker!r} before it takes all of its requests"
+        term_ids = [term.node_id for term in rule.terms]
+        combinable_ids = term_ids if len(term_ids) <= MAX_SUBSET_TERMS else []
+        subsets = [
+            frozenset(c) for n in range(1, len(combinable_ids) + 1) for c in combinations(combinable_ids, n)
+        ]
+        if earlier_rule := next(
+            (rules_by_terms[p] for p in (subsets or [frozenset(term_ids)]) if p in rules_by_terms), ""
+        ):
+            yield index, f"rule {earlier_rule!r} before it takes all of its requests"
             continue
-        seen.setdefault(frozenset(numbers), rule.name)
-        if len(rule.terms) == 1 and (keys := planner.keys(rule.terms[0])):
-            covered[rule.terms[0].args[0].number].take(*keys, rule.name)
+        rules_by_terms.setdefault(frozenset(term_ids), rule.name)
+        if len(rule.terms) == 1 and (keys := planner.lookup_keys(rule.terms[0])):
+            covered[rule.terms[0].args[0].node_id].cover(*keys, rule.name)
 
 
-def _taken(planner: Planner, rule: RulePlan, covered: dict[int, _Covered]) -> str:
+def _covering_rule(planner: Planner, rule: RulePlan, covered: dict[int, _CoveredRequests]) -> str:
     for term in rule.terms:
-        if (found := planner.keys(term)) and (held := covered.get(term.args[0].number)):
-            takers = {held.taker(found[0], key) for key in found[1]}
-            if takers and "" not in takers:
-                return min(takers)
+        if (found := planner.lookup_keys(term)) and (covered_requests := covered.get(term.args[0].node_id)):
+            earlier_rules = {covered_requests.covering_rule(found[0], key) for key in found[1]}
+            if earlier_rules and "" not in earlier_rules:
+                return min(earlier_rules)
     return ""
 
 
-def _contradiction(planner: Planner, rule: RulePlan) -> str:
-    """Whether terms of one rule exclude each other."""
+def _find_contradiction(planner: Planner, rule: RulePlan) -> str:
+    """Return the fault if terms of one rule exclude each other, else an empty string."""
     allowed: dict[int, set[Any]] = {}
     for term in rule.terms:
-        if (found := planner.keys(term)) and found[0] == "value":
-            value = term.args[0].number
+        if (found := planner.lookup_keys(term)) and found[0] == "value":
+            value = term.args[0].node_id
             allowed[value] = allowed.get(value, set(found[1])) & set(found[1])
             if not allowed[value]:
                 return "its terms exclude each other"
@@ -248,38 +254,38 @@
 
 @dataclass(slots=True)
 class Costs:
-    """What parts cost at the worst, each shared one once; in ns."""
+    """Worst-case costs of expressions; a shared expression is computed once."""
 
-    read: float  # of a shared value that is there already
-    share_from: float
-    total: dict[int, float] = field(default_factory=dict)
+    shared_read_ns: float  # cost of reading a shared value that is already computed
+    min_shared_cost_ns: float  # cheaper expressions are computed at each use
+    total_ns: dict[int, float] = field(default_factory=dict)
     shared: dict[int, Typed] = field(default_factory=dict)
 
-    def learn(self, roots: Iterable[Typed]) -> None:
-        """Find which parts are worth sharing among these, and the cost of every part."""
+    def analyze(self, roots: Iterable[Typed]) -> None:
+        """Find the nodes below these roots that are worth sharing, and the cost of every node."""
         uses: Counter[int] = Counter()
         parts: dict[int, Typed] = {}
         for root in roots:
-            uses[root.number] += 1
+            uses[root.node_id] += 1
             todo = [root]
             while todo:
                 node = todo.pop()
-                if node.number not in parts:
-                    parts[node.number] = node
+                if node.node_id not in parts:
+                    parts[node.node_id] = node
                     for arg in node.args:
-                        uses[arg.number] += 1
+                        uses[arg.node_id] += 1
                         todo.append(arg)
-        for number in sorted(parts):  # what a part is made of has lower numbers
+        for number in sorted(parts):  # operands have lower ids than the nodes that use them
             node = parts[number]
-            cost = node.own + sum(self.of(arg) for arg in node.args)
-            self.total[number] = cost
-            if uses[number] > 1 and node.args and cost >= self.share_from:
+            cost = node.own_cost_ns + sum(self.cost_of(arg) for arg in node.args)
+            self.total_ns[number] = cost
+            if uses[number] > 1 and node.args and cost >= self.min_shared_cost_ns:
                 self.shared[number] = node
 
-    def of(self, node: Typed) -> float:
-        """The cost of a part where it is used."""
-        return self.read if node.number in self.shared else self.total[node.number]
+    def cost_of(self, node: Typed) -> float:
+        """Return the cost of a node at each use."""
+        return self.shared_read_ns if node.node_id in self.shared else self.total_ns[node.node_id]
 
-    def once(self) -> float:
-        """The cost of computing each shared part once."""
-        return sum(self.total[number] for number in self.shared)
+    def shared_cost_ns(self) -> float:
+        """Return the cost of computing each shared node once."""
+        return sum(self.total_ns[number] for number in self.shared)
--- a/violetdoor/match/runtime.py
+++ b/violetdoor/match/runtime.py
@@ -1,6 +1,6 @@
-"""Compiled rules at work.
+"""Run time of compiled rules.
 
-What a process that serves holds of them. Neither grammar nor checker is needed here.
+Here and in types is all that a serving process needs; grammar and checker are not loaded.
 """
 
 from __future__ import annotations
@@ -13,130 +13,130 @@
 from types import CodeType, MappingProxyType
 from typing import Any, NamedTuple
 
-from violetdoor.match.types import INT_HIGH, INT_LOW, format_address, pack_address
+from violetdoor.match.types import MAX_INT, MIN_INT, format_address, pack_address
 
-FORMAT = 1  # of what the compiler writes
-CHUNK = 2000  # prefixes, or functions, taken in before others get a turn
-WHOLE = re.compile(r"[+-]?[0-9]{1,19}")
-REAL = re.compile(r"[+-]?[0-9]{1,19}(\.[0-9]{1,19})?")
+FORMAT_VERSION = 1  # of the compiler's output
+INSTALL_CHUNK = 2000  # prefixes or rules installed before the event loop gets a turn
+INTEGER_PATTERN = re.compile(r"[+-]?[0-9]{1,19}")
+DECIMAL_PATTERN = re.compile(r"[+-]?[0-9]{1,19}(\.[0-9]{1,19})?")
 Request = tuple[Any, ...]
 Step = Callable[[Request, list[Any]], Any]
 
 
 class Unset:
-    """Stands in the memo where nothing was computed yet; None is a value."""
+    """Marks a memo slot that is not computed yet; None is a valid value."""
 
 
-U = Unset()
+UNSET = Unset()
 
 
-def ck(n: int) -> int:
-    """A whole number that fits 64 bits, or OverflowError."""
-    if INT_LOW <= n <= INT_HIGH:
+def check_int64(n: int) -> int:
+    """Return an integer that fits 64 bits; raises OverflowError for any other."""
+    if MIN_INT <= n <= MAX_INT:
         return n
-    raise OverflowError("a number over 64 bits")
+    raise OverflowError("integer result does not fit 64 bits")
 
 
-def cf(x: float) -> float:
-    """A finite number, or OverflowError."""
+def check_finite(x: float) -> float:
+    """Return a finite number; raises OverflowError for any other."""
     if math.isfinite(x):
         return x
-    raise OverflowError("a number over its range")
+    raise OverflowError("float result is not finite")
 
 
-def div(a: int, b: int) -> int | None:
-    """Division rounded down; nothing by zero."""
-    return ck(a // b) if b else None
+def floor_divide(a: int, b: int) -> int | None:
+    """Return the quotient rounded down, None for a divisor of 0."""
+    return check_int64(a // b) if b else None
 
 
-def mod(a: int, b: int) -> int | None:
-    """The remainder, with the divisor's sign; nothing by zero."""
+def modulo(a: int, b: int) -> int | None:
+    """Return the remainder, with the divisor's sign; None for a divisor of 0."""
     return a % b if b else None
 
 
-def fdiv(a: float, b: float) -> float | None:
-    """Division of floats; nothing by zero."""
-    return cf(a / b) if b else None
+def float_divide(a: float, b: float) -> float | None:
+    """Return the quotient of floats, None for a divisor of 0."""
+    return check_finite(a / b) if b else None
 
 
-def split(text: str, by: str, most: int) -> tuple[str, ...]:
-    """The parts of a text, so many at most; the last has the rest."""
-    return tuple(text.split(by, most - 1))
+def split(text: str, separator: str, max_parts: int) -> tuple[str, ...]:
+    """Return the parts of a text, `max_parts` at most; the last holds the rest."""
+    return tuple(text.split(separator, max_parts - 1))
 
 
-def nth(items: tuple[Any, ...] | list[Any], n: int) -> Any:
-    """An item of a list, counted from 0, or nothing."""
+def item_at(items: tuple[Any, ...] | list[Any], n: int) -> Any:
+    """Return an item of a list, counted from 0; None if there is no such item."""
     return items[n] if 0 <= n < len(items) else None
 
 
-def fits(subject: str, pattern: tuple[str, ...]) -> bool:
-    """Whether a subject fits a pattern with the wildcards of the NATS client protocol."""
+def matches_subject(subject: str, pattern: tuple[str, ...]) -> bool:
+    """Whether a subject matches a pattern with the wildcards of the NATS client protocol."""
     tokens = subject.split(".")
     if len(tokens) != len(pattern) and (pattern[-1] != ">" or len(tokens) < len(pattern)):
         return False
-    for wanted, token in zip(pattern, tokens, strict=False):
-        if wanted != token and wanted != "*" and wanted != ">":
+    for expected, token in zip(pattern, tokens, strict=False):
+        if expected != token and expected != "*" and expected != ">":
             return False
     return "" not in tokens
 
 
 def to_int(text: str) -> int | None:
-    """The whole number that a text is, or nothing."""
-    if not WHOLE.fullmatch(text):
+    """Return the integer that a text represents; None if it is not one or does not fit 64 bits."""
+    if not INTEGER_PATTERN.fullmatch(text):
         return None
     n = int(text)
-    return n if INT_LOW <= n <= INT_HIGH else None
+    return n if MIN_INT <= n <= MAX_INT else None
 
 
 def to_float(text: str) -> float | None:
-    """The number that a text is, or nothing."""
-    return float(text) if REAL.fullmatch(text) else None
+    """Return the decimal number that a text represents, None if it is not one."""
+    return float(text) if DECIMAL_PATTERN.fullmatch(text) else None
 
 
-def digest(value: str | bytes | int, n: int) -> int:
-    """A hash in 0..n-1, the same on every machine: XXH3, 64 bits, of UTF-8, packed or little-endian bytes."""
+def hash_bucket(value: str | bytes | int, buckets: int) -> int:
+    """Return a hash in 0..buckets-1, the same on every machine.
+
+    It is the 64-bit XXH3 of a string's UTF-8, an address's packed or an integer's little-endian bytes.
+    """
     from xxhash import xxh3_64_intdigest
 
     if isinstance(value, str):
         value = value.encode("utf-8", "surrogatepass")
     elif isinstance(value, int):
         value = value.to_bytes(8, "little", signed=True)
-    return xxh3_64_intdigest(value) % n
+    return xxh3_64_intdigest(value) % buckets
 
 
 class PrefixTable:
-    """A set of prefixes of both families.
-
-    Each may carry a value. The longest that holds an address counts.
-    """
+    """A table of IPv4 and IPv6 prefixes, each with a value; look-ups use the longest match."""
 
     def __init__(self) -> None:
         from pytricia import PyTricia
 
-        self.four, self.six = PyTricia(32), PyTricia(128)
+        self.ipv4, self.ipv6 = PyTricia(32), PyTricia(128)
 
     def fill(self, members: Iterable[tuple[bytes, int, Any]]) -> Iterator[None]:
-        """Take in prefixes as packed address, length and value; yields now and then."""
+        """Insert prefixes given as packed address, length and value; yields after every INSTALL_CHUNK."""
         for n, (address, length, value) in enumerate(members, 1):
-            (self.four if len(address) == 4 else self.six).insert(address, length, value)
-            if n % CHUNK == 0:
+            (self.ipv4 if len(address) == 4 else self.ipv6).insert(address, length, value)
+            if n % INSTALL_CHUNK == 0:
                 yield
 
     def get(self, address: bytes) -> Any:
-        """The value of the longest prefix that holds the address, or None."""
-        return (self.four if len(address) == 4 else self.six).get(address)
+        """Return the value of the longest prefix that contains the address, or None."""
+        return (self.ipv4 if len(address) == 4 else self.ipv6).get(address)
 
 
 ENVIRONMENT: dict[str, Any] = {
-    "U": U, "ck": ck, "cf": cf, "div": div, "mod": mod, "fdiv": fdiv, "split": split, "nth": nth,
-    "fits": fits, "to_int": to_int, "to_float": to_float, "digest": digest, "packed": pack_address,
-    "written": format_address,
+    "U": UNSET, "ck": check_int64, "cf": check_finite, "div": floor_divide, "mod": modulo,
+    "fdiv": float_divide, "split": split, "nth": item_at, "fits": matches_subject, "to_int": to_int,
+    "to_float": to_float, "digest": hash_bucket, "packed": pack_address, "written": format_address,
     "__builtins__": {"len": len, "min": min, "max": max, "str": str, "float": float, "abs": abs},
 }  # fmt: skip
 
 
 def compile_pattern(pattern: str) -> Any:
-    """A regular expression that runs in linear time, or ValueError."""
+    """Return a regular expression that matches in linear time; raises ValueError if it is invalid."""
     import re2
 
     options = re2.Options()
@@ -149,7 +149,7 @@
 
 
 class Verdict(NamedTuple):
-    """What the rules say of a request; None is what they leave to the front."""
+    """The rules' decision on a request; None leaves the value to the front."""
 
     rule: str = "default"
     cls: str | None = None
@@ -163,86 +163,86 @@
 
 @dataclass(slots=True)
 class _Group:
-    """Rules that test one value: which of them can match is looked up."""
+    """Rules that test the same value; a look-up finds those that can match."""
 
     kind: str
-    read: Step
-    table: Any  # of values, of prefixes by their length, or of networks: rules in order
+    read_value: Step
+    table: Any  # indexes of rules, by value, by string prefix for each length, or by address prefix
 
 
 class RuleSet:
-    """A whole set of rules, ready to decide."""
+    """A compiled set of rules."""
 
     def __init__(self, data: Mapping[str, Any]) -> None:
-        """Take the compiler's product; it is ready once `install` has run to its end."""
-        if data.get("format") != FORMAT:
-            raise ValueError("the compiled rules are of another version")
+        """Take the compiler's output; the set can decide once `install` is exhausted."""
+        if data.get("format") != FORMAT_VERSION:
+            raise ValueError("the compiled rules have an unsupported format version")
         self.rule_names: list[str] = data["names"]
         self.used_fields: frozenset[str] = frozenset(data["used"])
-        self.cost_ns: float = data["cost"]  # ns at the worst, by the price table
+        self.cost_ns: float = data["cost"]  # worst case of one request, by the price table
         self.origin: str = data["origin"]
         self.failure_count = 0
         self.last_failure = ""
         self._data = data
-        self._blank: list[Any] = [U] * data["shared"]
-        self._when: list[Step | None] = []
-        self._out: list[Verdict | Step] = []
-        self._fixed: tuple[int, ...] = data["fixed"]
+        self._empty_memo: list[Any] = [UNSET] * data["shared"]
+        self._conditions: list[Step | None] = []
+        self._outcomes: list[Verdict | Step] = []
+        self._ungrouped: tuple[int, ...] = data["fixed"]
         self._groups: list[_Group] = []
         self._default: Verdict | Step = Verdict()
 
     def install(self) -> Iterator[None]:
-        """Build what decides, in steps.
+        """Install the set in small steps, yielding between them.
 
-        Guards against a large set that holds up the loop when it is swapped in.
+        Guards against a large set blocking the event loop while it is swapped in.
         """
-        data, space = self._data, dict(ENVIRONMENT)
-        space["V"] = Verdict
-        space["P"] = [compile_pattern(pattern) for pattern in data["patterns"]]
-        space["S"] = data["texts"]
-        space["C"] = data["constants"]
-        space["N"] = nets = []
+        data, namespace = self._data, dict(ENVIRONMENT)
+        namespace["V"] = Verdict
+        namespace["P"] = [compile_pattern(pattern) for pattern in data["patterns"]]
+        namespace["S"] = data["texts"]
+        namespace["C"] = data["constants"]
+        namespace["N"] = nets = []
         for members in data["nets"]:
             nets.append(PrefixTable())
             yield from nets[-1].fill((address, length, True) for address, length in members)
         for blob in data["code"]:
             code = marshal.loads(blob)
             assert isinstance(code, CodeType)
-            exec(code, space)
+            exec(code, namespace)
             yield
 
         def step(name: str | None) -> Any:
-            return space[name] if name else None
+            return namespace[name] if name else None
 
         def outcome(out: Any) -> Verdict | Step:
             return step(out) if isinstance(out, str) else Verdict(*out)
 
         for n, (when, out) in enumerate(data["rules"], 1):
-            self._when.append(step(when))
-            self._out.append(outcome(out))
-            if n % CHUNK == 0:
+            self._conditions.append(step(when))
+            self._outcomes.append(outcome(out))
+            if n % INSTALL_CHUNK == 0:
                 yield
         self._default = outcome(data["default"])
-        for kind, read, table in data["groups"]:
+        for kind, read_value, table in data["groups"]:
             if kind == "net":
                 tree = PrefixTable()
                 yield from tree.fill(table)
                 table = tree
-            self._groups.append(_Group(kind, step(read), table))
+            self._groups.append(_Group(kind, step(read_value), table))
         self._data = {}
 
     def build(self) -> RuleSet:
-        """Build all at once."""
+        """Install the whole set at once; return it."""
         for _ in self.install():
             pass
         return self
 
     def candidates(self, request: Request, memo: list[Any]) -> list[int] | tuple[int, ...]:
-        """The rules that can match, in order."""
-        found: list[int] | tuple[int, ...] = self._fixed
+        """Return the indexes of the rules that can match, in order."""
+        found: list[int] | tuple[int, ...] = self._ungrouped
         merged = False
         for group in self._groups:
-            value = group.read(request, memo)
+            value = group.read_value(request, memo)
             if value is None:
                 continue
             if group.kind == "prefix":
@@ -256,19 +256,18 @@
         return sorted(found) if merged else found
 
     def decide(self, request: Request) -> Verdict:
-        """The first rule's word that matches, else the default's; never an exception.
+        """Return the verdict of the first rule that matches, else the default's; never raises.
 
-        Guards against a rule that fails all the same: its request gets the default, and the failure is
-        counted.
+        If a rule fails at run time, its request gets the default verdict and the failure is counted.
         """
-        memo = self._blank[:]
+        memo = self._empty_memo[:]
         at = -1
         try:
-            when = self._when
+            when = self._conditions
             for at in self.candidates(request, memo):
                 test = when[at]
                 if test is None or test(request, memo):
-                    out = self._out[at]
+                    out = self._outcomes[at]
                     return out if isinstance(out, Verdict) else out(request, memo)
             at = -1
             out = self._default
@@ -277,14 +276,14 @@
             name = self.rule_names[at] if at >= 0 else "default"
             return self.record_failure(name, f"{type(err).__name__} {err}", request)
 
-    def record_failure(self, rule: str, why: str, request: Request) -> Verdict:
-        """Count a rule's failure; the default's word in its place."""
+    def record_failure(self, rule: str, reason: str, request: Request) -> Verdict:
+        """Count a rule's failure; return the default verdict."""
         self.failure_count += 1
-        self.last_failure = f"{rule!r}: {why}"
+        self.last_failure = f"{rule!r}: {reason}"
         out = self._default
         if isinstance(out, Verdict):
             return out
         try:
-            return out(request, self._blank[:])  # type: ignore[no-any-return]
+            return out(request, self._empty_memo[:])  # type: ignore[no-any-return]
         except Exception:
             return Verdict()
--- a/violetdoor/match/tree.py
+++ b/violetdoor/match/tree.py
@@ -1,4 +1,4 @@
-"""What the parser makes of a rules file: a tree with places, not yet typed."""
+"""Syntax tree of a rules file: untyped nodes with source positions, as the parser builds them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Node:
-    """One expression; `depth` counts the levels below it and itself."""
+    """An expression; `depth` is the height of its subtree in levels, a leaf being 1."""
 
     span: Span
     depth: int
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Literal(Node):
-    """A value that stands in the source."""
+    """A constant written in the source."""
 
     type: Type
     value: Any
@@ -27,14 +27,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Name(Node):
-    """A field, a named expression, a set, or what a `let` names."""
+    """A reference by name to a field, a named expression, a set or a `let` variable."""
 
     name: str
 
 
 @dataclass(slots=True, frozen=True)
-class Apply(Node):
-    """An operator or a function and what it is applied to."""
+class Operation(Node):
+    """An operator or a function with its operands."""
 
     op: str
     args: tuple[Node, ...]
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Let(Node):
-    """A name for a value within a body."""
+    """A `let` expression: binds a name to a value within its body."""
 
     name: str
     value: Node
@@ -50,33 +50,33 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Items(Node):
-    """A list in brackets."""
+class ListLiteral(Node):
+    """A list literal in brackets."""
 
     items: tuple[Node, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Pairs(Node):
-    """A map in braces."""
+class MapLiteral(Node):
+    """A map literal in braces."""
 
     pairs: tuple[tuple[Node, Node], ...]
 
 
 @dataclass(slots=True, frozen=True)
 class NamedSet:
-    """A named set of strings or prefixes, listed here or in a file."""
+    """A named set of strings or address prefixes; its members are listed inline or in `file`."""
 
     span: Span
     name: str
-    kind: str  # strings or prefixes
+    kind: str  # "strings" or "prefixes"
     members: tuple[tuple[str, Span], ...] = ()
-    file: str = ""
+    file: str = ""  # empty where the members are listed inline
 
 
 @dataclass(slots=True, frozen=True)
 class Define:
-    """A named expression."""
+    """A named expression (`define`)."""
 
     span: Span
     name: str
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Output:
-    """One thing that a rule says of a request; `label` is the name of a label."""
+    """One output that a rule sets, such as the class; `label` is the label's name where `name` is "label"."""
 
     span: Span
     name: str
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Rule:
-    """A rule, or the default where there is no condition."""
+    """A rule; the default rule has no condition (`when` is None)."""
 
     span: Span
     name: str
@@ -105,7 +105,7 @@
 
 @dataclass(slots=True)
 class Source:
-    """A whole rules file."""
+    """The items of a rules file, by kind."""
 
     sets: list[NamedSet] = field(default_factory=list)
     defines: list[Define] = field(default_factory=list)
--- a/violetdoor/match/typed.py
+++ b/violetdoor/match/typed.py
@@ -1,6 +1,6 @@
-"""Typed expressions: a graph in which equal parts are one node.
+"""Typed expressions: a graph that shares equal subexpressions.
 
-Each with the bounds that its cost follows from.
+Each node has the bounds from which its cost follows.
 """
 
 from __future__ import annotations
@@ -15,139 +15,139 @@
 
 @dataclass(slots=True, eq=False)
 class Typed:
-    """One part of an expression.
+    """One node of the expression graph.
 
-    `size` is the longest string in it in bytes (of an item, where it is a list or map), `most` the longest
-    list, `low` and `high` the range of a number. `own` is what the part itself costs at the worst, in ns.
+    `max_bytes` bounds a string, or each item of a list or map; `max_items` bounds the length of the latter;
+    `low` and `high` bound a number. `own_cost_ns` is the worst-case cost of the node without its operands.
     """
 
     op: str
     type: t.Type
     args: tuple[Typed, ...] = ()
     value: Any = None
-    size: int = 0
-    most: int = 0
-    low: float = t.INT_LOW
-    high: float = t.INT_HIGH
+    max_bytes: int = 0
+    max_items: int = 0
+    low: float = t.MIN_INT
+    high: float = t.MAX_INT
     depth: int = 1
-    own: float = 0.0
-    number: int = 0  # its place in the graph
+    own_cost_ns: float = 0.0
+    node_id: int = 0  # number in order of creation, from 1: operands have lower ones
 
     @property
-    def constant(self) -> bool:
-        """Whether its value is known at load."""
+    def is_constant(self) -> bool:
+        """Whether the value is known at load."""
         return self.op == "const"
 
 
 @dataclass(slots=True, frozen=True)
-class Op:
-    """How an operator is carried out, and the name of its price; a test of a missing value is false."""
-
-    code: str  # with {0}, {1} for what it is applied to, and {v} for its constant
-    price: str
-    test: bool = False
-
-
-# The whole language beside and, or, not, if, ??, has, lists: these are compiled where they stand.
-OPS: dict[str, Op] = {
-    "==": Op("{0} == {1}", "compare", True),
-    "<": Op("{0} < {1}", "compare", True),
-    "<=": Op("{0} <= {1}", "compare", True),
-    "+": Op("{0} + {1}", "arithmetic"),
-    "-": Op("{0} - {1}", "arithmetic"),
-    "*": Op("{0} * {1}", "arithmetic"),
-    "+!": Op("ck({0} + {1})", "checked"),
-    "-!": Op("ck({0} - {1})", "checked"),
-    "*!": Op("ck({0} * {1})", "checked"),
-    "+f": Op("cf({0} + {1})", "checked"),
-    "-f": Op("cf({0} - {1})", "checked"),
-    "*f": Op("cf({0} * {1})", "checked"),
-    "/": Op("div({0}, {1})", "checked"),
-    "%": Op("mod({0}, {1})", "checked"),
-    "/f": Op("fdiv({0}, {1})", "checked"),
-    "negative": Op("-{0}", "arithmetic"),
-    "negative!": Op("ck(-{0})", "checked"),
-    "concat": Op("{0} + {1}", "concat"),
-    "in set": Op("{0} in {v}", "member", True),
-    "in list": Op("{0} in {1}", "scan", True),
-    "in map": Op("{0} in {1}", "member", True),
-    "in nets": Op("{v}.get({0}) is not None", "net", True),
-    "matches": Op("{v}.search({0}.encode()) is not None", "match", True),
-    "starts_with": Op("{0}.startswith({1})", "prefix", True),
-    "ends_with": Op("{0}.endswith({1})", "prefix", True),
-    "contains": Op("{1} in {0}", "contains", True),
-    "fits": Op("fits({0}, {v})", "fits", True),
-    "lower": Op("{0}.lower()", "lower"),
-    "split": Op("split({0}, {1}, {v})", "split"),
-    "len": Op("len({0})", "checked"),
-    "hash": Op("digest({0}, {v})", "hash"),
-    "int": Op("to_int({0})", "number"),
-    "whole": Op("{0}", "arithmetic"),
-    "float": Op("to_float({0})", "number"),
-    "to_float": Op("float({0})", "checked"),
-    "address": Op("packed({0})", "address"),
-    "text": Op("str({0})", "text"),
-    "text address": Op("written({0})", "text"),
-    "min": Op("min({0}, {1})", "checked"),
-    "max": Op("max({0}, {1})", "checked"),
-    "nth": Op("nth({0}, {1})", "checked"),
-    "get": Op("{0}.get({1})", "member"),
+class OperatorCode:
+    """How an operator is compiled; a test is false where an operand is missing."""
+
+    code: str  # {0} and {1} stand for the operands, {v} for the operator's constant
+    price_name: str  # of its step in the price table
+    is_test: bool = False
+
+
+# All operators except and, or, not, if, ??, has and lists: generate_code has the code of these.
+OPERATORS: dict[str, OperatorCode] = {
+    "==": OperatorCode("{0} == {1}", "compare", True),
+    "<": OperatorCode("{0} < {1}", "compare", True),
+    "<=": OperatorCode("{0} <= {1}", "compare", True),
+    "+": OperatorCode("{0} + {1}", "arithmetic"),
+    "-": OperatorCode("{0} - {1}", "arithmetic"),
+    "*": OperatorCode("{0} * {1}", "arithmetic"),
+    "+!": OperatorCode("ck({0} + {1})", "checked"),
+    "-!": OperatorCode("ck({0} - {1})", "checked"),
+    "*!": OperatorCode("ck({0} * {1})", "checked"),
+    "+f": OperatorCode("cf({0} + {1})", "checked"),
+    "-f": OperatorCode("cf({0} - {1})", "checked"),
+    "*f": OperatorCode("cf({0} * {1})", "checked"),
+    "/": OperatorCode("div({0}, {1})", "checked"),
+    "%": OperatorCode("mod({0}, {1})", "checked"),
+    "/f": OperatorCode("fdiv({0}, {1})", "checked"),
+    "negative": OperatorCode("-{0}", "arithmetic"),
+    "negative!": OperatorCode("ck(-{0})", "checked"),
+    "concat": OperatorCode("{0} + {1}", "concat"),
+    "in set": OperatorCode("{0} in {v}", "member", True),
+    "in list": OperatorCode("{0} in {1}", "scan", True),
+    "in map": OperatorCode("{0} in {1}", "member", True),
+    "in nets": OperatorCode("{v}.get({0}) is not None", "net", True),
+    "matches": OperatorCode("{v}.search({0}.encode()) is not None", "match", True),
+    "starts_with": OperatorCode("{0}.startswith({1})", "prefix", True),
+    "ends_with": OperatorCode("{0}.endswith({1})", "prefix", True),
+    "contains": OperatorCode("{1} in {0}", "contains", True),
+    "fits": OperatorCode("fits({0}, {v})", "fits", True),
+    "lower": OperatorCode("{0}.lower()", "lower"),
+    "split": OperatorCode("split({0}, {1}, {v})", "split"),
+    "len": OperatorCode("len({0})", "checked"),
+    "hash": OperatorCode("digest({0}, {v})", "hash"),
+    "int": OperatorCode("to_int({0})", "number"),
+    "whole": OperatorCode("{0}", "arithmetic"),
+    "float": OperatorCode("to_float({0})", "number"),
+    "to_float": OperatorCode("float({0})", "checked"),
+    "address": OperatorCode("packed({0})", "address"),
+    "text": OperatorCode("str({0})", "text"),
+    "text address": OperatorCode("written({0})", "text"),
+    "min": OperatorCode("min({0}, {1})", "checked"),
+    "max": OperatorCode("max({0}, {1})", "checked"),
+    "nth": OperatorCode("nth({0}, {1})", "checked"),
+    "get": OperatorCode("{0}.get({1})", "member"),
 }
 
 
 @dataclass(slots=True)
 class Graph:
-    """Makes parts; an equal part is the same object, so that its code and its cost count once."""
+    """Creates nodes; equal nodes are one object, so that their code and their cost count once."""
 
     prices: dict[str, tuple[float, float]]
-    known: dict[Any, Typed] = field(default_factory=dict)
+    nodes: dict[Any, Typed] = field(default_factory=dict)
 
-    def price(self, name: str, units: float = 0.0) -> float:
-        """What one step of this name costs at the worst, in ns, on so many bytes or items."""
-        base, each = self.prices[name]
-        return base + each * units
+    def step_cost_ns(self, name: str, units: float = 0.0) -> float:
+        """Return the worst-case cost of a step on this number of bytes or items, in ns."""
+        base, per_unit = self.prices[name]
+        return base + per_unit * units
 
     def add(self, node: Typed) -> Typed:
-        """The part itself, or the one that is equal to it."""
-        key = (node.op, node.type, _identity(node.value), tuple(a.number for a in node.args))
-        if (found := self.known.get(key)) is not None:
+        """Return the node, or an equal one that was added before."""
+        key = (node.op, node.type, _identity_key(node.value), tuple(a.node_id for a in node.args))
+        if (found := self.nodes.get(key)) is not None:
             return found
-        node.number = len(self.known) + 1
+        node.node_id = len(self.nodes) + 1
         node.depth = 1 + max((a.depth for a in node.args), default=0)
-        self.known[key] = node
+        self.nodes[key] = node
         return node
 
     def constant(self, kind: t.Type, value: Any) -> Typed:
-        """A value that is known at load, with the bounds that it has."""
-        node = Typed("const", kind, value=value, own=self.price("constant"))
-        inner = kind.inner
+        """Return the node of a value known at load, with its bounds."""
+        node = Typed("const", kind, value=value, own_cost_ns=self.step_cost_ns("constant"))
+        base = kind.base
         if value is None:
             node.low = node.high = 0
-        elif inner is t.STRING:
-            node.size = len(value.encode("utf-8", "surrogatepass"))
-        elif inner in t.NUMBERS:
+        elif base is t.STRING:
+            node.max_bytes = len(value.encode("utf-8", "surrogatepass"))
+        elif base in t.NUMERIC_TYPES:
             node.low = node.high = value
-        elif inner.name in ("list", "map"):
-            held = list(value.values()) if inner.name == "map" else list(value)
-            node.most = len(held)
-            if inner.item is t.STRING:
-                node.size = max((len(v.encode("utf-8", "surrogatepass")) for v in held), default=0)
-            elif inner.item in t.NUMBERS:
-                node.low, node.high = min(held, default=0), max(held, default=0)
+        elif base.name in ("list", "map"):
+            items = list(value.values()) if base.name == "map" else list(value)
+            node.max_items = len(items)
+            if base.item is t.STRING:
+                node.max_bytes = max((len(v.encode("utf-8", "surrogatepass")) for v in items), default=0)
+            elif base.item in t.NUMERIC_TYPES:
+                node.low, node.high = min(items, default=0), max(items, default=0)
         return self.add(node)
 
 
-def _identity(value: Any) -> Any:
-    """A key that tells values apart, 1 from 1.0 and True too."""
+def _identity_key(value: Any) -> Any:
+    """Return a key that distinguishes values by their type too: 1, 1.0 and True differ."""
     if isinstance(value, dict):
-        return ("map", tuple((k, _identity(v)) for k, v in value.items()))
+        return ("map", tuple((k, _identity_key(v)) for k, v in value.items()))
     if isinstance(value, (tuple, list)):
-        return ("list", tuple(map(_identity, value)))
+        return ("list", tuple(map(_identity_key, value)))
     return (type(value).__name__, repr(value) if isinstance(value, float) else value)
 
 
-def generate_code(node: Typed, args: list[str], value: str, fresh: Callable[[], str]) -> str:
-    """The code of a part out of the code of those below it; what may be missing is looked at first."""
+def generate_code(node: Typed, args: list[str], value: str, new_name: Callable[[], str]) -> str:
+    """Return a node's code, given its operands' code; operands that may be missing are tested first."""
     match node.op:
         case "and" | "or":
             return "(" + f" {node.op} ".join(args) + ")"
@@ -158,26 +158,26 @@
         case "has":
             return f"({args[0]} is not None)"
         case "??":
-            held = fresh()
-            return f"({held} if ({held} := {args[0]}) is not None else {args[1]})"
+            name = new_name()
+            return f"({name} if ({name} := {args[0]}) is not None else {args[1]})"
         case "list":
             return "(" + "".join(f"{a}, " for a in args) + ")"
-    op = OPS[node.op]
-    operands, there = list(args), []
+    op = OPERATORS[node.op]
+    operands, presence_checks = list(args), []
     for n, arg in enumerate(node.args):
-        if arg.type.optional:
-            operands[n] = fresh()
-            there.append(f"({operands[n]} := {args[n]}) is not None")
+        if arg.type.is_optional:
+            operands[n] = new_name()
+            presence_checks.append(f"({operands[n]} := {args[n]}) is not None")
     code = op.code.format(*operands, v=value)
-    if op.test:
-        return "(" + " and ".join([*there, code]) + ")"
-    return f"({code} if {' and '.join(there)} else None)" if there else f"({code})"
+    if op.is_test:
+        return "(" + " and ".join([*presence_checks, code]) + ")"
+    return f"({code} if {' and '.join(presence_checks)} else None)" if presence_checks else f"({code})"
 
 
-def computed(node: Typed, value: Any) -> Any:
-    """The value of a part of which all below it are constants; raises what its code raises."""
-    space: dict[str, Any] = {f"a{n}": arg.value for n, arg in enumerate(node.args)}
-    space |= {"v": value} | ENVIRONMENT
+def fold_constant(node: Typed, value: Any) -> Any:
+    """Return the value of a node whose operands are all constants; raises what its code raises."""
+    namespace: dict[str, Any] = {f"a{n}": arg.value for n, arg in enumerate(node.args)}
+    namespace |= {"v": value} | ENVIRONMENT
     names = iter(f"x{n}" for n in range(16))
     code = generate_code(node, [f"a{n}" for n in range(len(node.args))], "v", lambda: next(names))
-    return eval(code, space)
+    return eval(code, namespace)
