--- a/tests/test_match.py
+++ b/tests/test_match.py
@@ -18,7 +18,7 @@
 from violetdoor.match.grammar import group_items, parse, parse_expression
 from violetdoor.match.load import Loaded, Loader
 from violetdoor.match.runtime import RuleSet, Verdict
-from violetdoor.match.typed import Typed
+from violetdoor.match.typed import TypedNode
 
 SCHEMA = t.Schema("test", {
     "s": t.Field(t.STRING, max_bytes=24), "os": t.Field(t.optional(t.STRING), max_bytes=24),
@@ -217,7 +217,7 @@
     texts = {name: "".join(f"{t.format_address(a)}/{n}\n" for a, n in held) for name, held in files.items()}
     rules = load('set one = prefixes from "a.txt";\nset two = prefixes from "b.txt";\n'
                  'rule "both" when ip in one and ip in two {}\nrule "a" when ip in one {}\ndefault {}',
-                 read=texts.__getitem__).build()  # fmt: skip
+                 read_file=texts.__getitem__).build()  # fmt: skip
     held = {name: {n: {int.from_bytes(a, "big") >> (32 - n) for a, m in pairs if m == n} for n in range(6, 31)}
             for name, pairs in files.items()}  # fmt: skip
     for _ in range(2000):
@@ -292,11 +292,11 @@
 class ProbingEmitter(Emitter):
     """Compiles a call behind each part that tells its node and its value."""
 
-    nodes: dict[int, Typed] = {}  # noqa: RUF012
+    nodes: dict[int, TypedNode] = {}  # noqa: RUF012
 
-    def code(self, node: Typed, top: bool = False, level: int = 0) -> str:
-        text = super().code(node, top, level)
-        if node.is_constant or (node.node_id in self.memo_slots and not top):
+    def code(self, node: TypedNode, ignore_memo: bool = False, level: int = 0) -> str:
+        text = super().code(node, ignore_memo, level)
+        if node.is_constant or (node.node_id in self.memo_slots and not ignore_memo):
             return text
         self.nodes[node.node_id] = node
         return f"probe({node.node_id}, {text})"
--- a/violetdoor/match/cases.py
+++ b/violetdoor/match/cases.py
@@ -78,8 +78,8 @@
 def _differences(expect: Expected, verdict: Verdict) -> Iterator[str]:
     found = verdict_fields(verdict)
     expected = {"rule": expect.rule, "class": expect.cls, "tenant": expect.tenant, "group": expect.group,
-              "key": expect.key, "pool": expect.pool, "refuse": expect.refuse,
-              "labels": expect.labels}  # fmt: skip
+                "key": expect.key, "pool": expect.pool, "refuse": expect.refuse,
+                "labels": expect.labels}  # fmt: skip
     for name, value in expected.items():
         if name == "refuse" and value == "":
             value, is_expected = None, True
--- a/violetdoor/match/emit.py
+++ b/violetdoor/match/emit.py
@@ -5,7 +5,7 @@
 import marshal
 from typing import Any
 
-from violetdoor.match.typed import Typed, generate_code
+from violetdoor.match.typed import TypedNode, generate_code
 
 MAX_NESTING = 20  # levels of the expression in one function; Python's parser accepts 200 nested brackets
 FUNCTIONS_PER_BLOB = 500  # functions compiled into one code object
@@ -15,21 +15,21 @@
 class Emitter:
     """Collects generated functions and the tables that they read."""
 
-    def __init__(self, shared: dict[int, Typed]) -> None:
-        self.memo_slots = {number: slot for slot, number in enumerate(shared)}
+    def __init__(self, shared: dict[int, TypedNode]) -> None:
+        self.memo_slots = {node_id: slot for slot, node_id in enumerate(shared)}
         self.functions: list[str] = []
         self.patterns: list[str] = []
         self.constants: list[Any] = []
         self.constant_indexes: dict[tuple[str, Any], int] = {}
         self.used_fields: set[str] = set()
         self.used_sets: set[tuple[str, int]] = set()
-        self._helpers = self._names = 0
-        for number, node in shared.items():
-            slot = self.memo_slots[number]
-            body = self.code(node, top=True)
+        self._helper_count = self._name_count = 0
+        for node_id, node in shared.items():
+            slot = self.memo_slots[node_id]
+            body = self.code(node, ignore_memo=True)
             self.functions.append(f"def s{slot}(r, m):\n x = m[{slot}] = {body}\n return x\n")
 
-    def function(self, name: str, node: Typed) -> str:
+    def function(self, name: str, node: TypedNode) -> str:
         """Define a function that computes a node; return the function's name."""
         return self.define(name, self.code(node))
 
@@ -38,35 +38,35 @@
         self.functions.append(f"def {name}(r, m):\n return {body}\n")
         return name
 
-    def conjunction(self, name: str, terms: tuple[Typed, ...]) -> str | None:
+    def conjunction(self, name: str, terms: tuple[TypedNode, ...]) -> str | None:
         """Define a function that tests whether all terms hold; return its name, None without terms."""
         return self.define(name, " and ".join(map(self.code, terms))) if terms else None
 
     def new_name(self) -> str:
         """Return a variable name that is not used yet."""
-        self._names += 1
-        return f"x{self._names}"
+        self._name_count += 1
+        return f"x{self._name_count}"
 
-    def code(self, node: Typed, top: bool = False, level: int = 0) -> str:
+    def code(self, node: TypedNode, ignore_memo: bool = False, level: int = 0) -> str:
         """Return the expression that computes a node.
 
-        With `top`, a shared node is computed, not read from its memo slot.
+        With `ignore_memo`, a shared node is computed, not read from its memo slot.
         """
         if node.is_constant:
             return self.constant(node.value)
         if node.op == "field":
             self.used_fields.add(node.value[1])
             return f"r[{node.value[0]}]"
-        if node.node_id in self.memo_slots and not top:
+        if node.node_id in self.memo_slots and not ignore_memo:
             slot = self.memo_slots[node.node_id]
             return f"(m[{slot}] if m[{slot}] is not U else s{slot}(r, m))"
         if level >= MAX_NESTING:
-            self._helpers += 1
-            return self.define(f"h{self._helpers}", self.code(node, top=True)) + "(r, m)"
+            self._helper_count += 1
+            return self.define(f"h{self._helper_count}", self.code(node, ignore_memo=True)) + "(r, m)"
         args = [self.code(arg, level=level + 1) for arg in node.args]
         return generate_code(node, args, self.operand_constant(node), self.new_name)
 
-    def operand_constant(self, node: Typed) -> str:
+    def operand_constant(self, node: TypedNode) -> str:
         """Return the code of the constant that a node has besides its operands."""
         if node.value is None:
             return ""
@@ -103,6 +103,6 @@
 
     def compile_functions(self) -> list[bytes]:
         """Return all functions as marshalled code objects, for processes of the same Python version."""
-        parts = range(0, len(self.functions), FUNCTIONS_PER_BLOB)
-        texts = ["".join(self.functions[n : n + FUNCTIONS_PER_BLOB]) for n in parts]
-        return [marshal.dumps(compile(text, "<rules>", "exec", optimize=2)) for text in texts]
+        starts = range(0, len(self.functions), FUNCTIONS_PER_BLOB)
+        sources = ["".join(self.functions[n : n + FUNCTIONS_PER_BLOB]) for n in starts]
+        return [marshal.dumps(compile(source, "<rules>", "exec", optimize=2)) for source in sources]
--- a/violetdoor/match/explain.py
+++ b/violetdoor/match/explain.py
@@ -14,7 +14,7 @@
 from violetdoor.match.faults import Span, excerpt
 from violetdoor.match.load import CheckedRule, Loaded
 from violetdoor.match.runtime import ENVIRONMENT, PrefixTable, Request, Verdict, compile_pattern
-from violetdoor.match.typed import Typed
+from violetdoor.match.typed import TypedNode
 from violetdoor.match.types import ADDRESS, format_address
 
 MAX_SHOWN_OPERANDS = 4  # of one term
@@ -61,12 +61,12 @@
         sets = loaded.checker.sets
         self.namespace: dict[str, Any] = dict(ENVIRONMENT) | {"S": sets.string_sets, "N": [], "V": Verdict}
         for members in sets.prefix_sets:
-            nets = PrefixTable()
-            for _ in nets.fill((address, length, True) for address, length in members):
+            prefix_table = PrefixTable()
+            for _ in prefix_table.fill((address, length, True) for address, length in members):
                 pass
-            self.namespace["N"].append(nets)
+            self.namespace["N"].append(prefix_table)
 
-    def value(self, node: Typed, request: Request) -> Any:
+    def value(self, node: TypedNode, request: Request) -> Any:
         """Return the value of a node."""
         emitter = Emitter({})
         emitter.function("value", node)
@@ -79,23 +79,23 @@
 
 def explain(loaded: Loaded, request: Request) -> Explanation:
     """Evaluate the rules on a request, up to the one that decides it."""
-    ready = loaded.build()
+    rule_set = loaded.build()
     evaluator = Evaluator(loaded)
-    candidates = set(ready.candidates(request, [*ready._empty_memo]))
-    verdict = ready.decide(request)
+    candidates = set(rule_set.candidates(request, [*rule_set._empty_memo]))
+    verdict = rule_set.decide(request)
     steps: list[Step] = []
-    tested = 0
+    tested_rules = 0
     for index, checked in enumerate(loaded.rules):
         step = _explain_rule(loaded, evaluator, checked, request)
         step.looked_up = index not in candidates
-        tested += not step.looked_up
+        tested_rules += not step.looked_up
         steps.append(step)
         if step.matched:
             break
     else:
         line, _ = loaded.faults.position(loaded.default.offset)
         steps.append(Step("default", line, True))
-    return Explanation(verdict, steps, ready.cost_ns / 1000, tested, ready.last_failure)
+    return Explanation(verdict, steps, rule_set.cost_ns / 1000, tested_rules, rule_set.last_failure)
 
 
 def _explain_rule(loaded: Loaded, evaluator: Evaluator, checked: CheckedRule, request: Request) -> Step:
@@ -151,7 +151,7 @@
         yield f"{text} is {'missing' if value is None else _format_value(typed, value)}"
 
 
-def _format_value(typed: Typed, value: Any) -> str:
+def _format_value(typed: TypedNode, value: Any) -> str:
     return (
         format_address(value)
         if typed.type.base == ADDRESS
--- a/violetdoor/match/faults.py
+++ b/violetdoor/match/faults.py
@@ -70,9 +70,9 @@
 
     def position(self, offset: int) -> tuple[int, int]:
         """Return line and column of a source offset in the source's file."""
-        row = bisect_right(self.line_starts, offset) - 1
-        column = offset - self.line_starts[row] + 1
-        return row + self.first_line, column + (self.first_column - 1 if row == 0 else 0)
+        line_index = bisect_right(self.line_starts, offset) - 1
+        column = offset - self.line_starts[line_index] + 1
+        return line_index + self.first_line, column + (self.first_column - 1 if line_index == 0 else 0)
 
     def add(self, span: Span, expected: str, found: str | None = None) -> None:
         """Record a fault, unless the same one is recorded already."""
@@ -82,8 +82,8 @@
             self.omitted_count += 1
             return
         line, column = self.position(span.start)
-        what = excerpt(self.text[span.start : span.end]) if found is None else found
-        self.by_key[span.start, expected] = Fault(self.file, line, column, what, expected)
+        found_text = excerpt(self.text[span.start : span.end]) if found is None else found
+        self.by_key[span.start, expected] = Fault(self.file, line, column, found_text, expected)
 
     def raise_if_any(self, *others: Faults) -> None:
         """Raise RulesError with all recorded faults, those of other files included, if there are any."""
--- a/violetdoor/match/grammar.py
+++ b/violetdoor/match/grammar.py
@@ -135,8 +135,8 @@
 
 
 def _unescape(text: str, span: Span) -> str:
-    def replacement(found: re.Match[str]) -> str:
-        code = found[1]
+    def replacement(escape: re.Match[str]) -> str:
+        code = escape[1]
         if code[0] == "u" and len(code) > 1:
             return chr(int(code[1:], 16))
         if code not in ESCAPES:
@@ -167,19 +167,19 @@
 
     def build(self, tree: Any) -> Any:
         """Return the node of a complete parse tree; does not recurse."""
-        todo, done = [(tree, False)], list[Any]()
-        while todo:
-            node, ready = todo.pop()
+        pending, built = [(tree, False)], list[Any]()
+        while pending:
+            node, children_built = pending.pop()
             if not isinstance(node, Tree):
-                done.append(node)
-            elif ready:
-                first = len(done) - len(node.children)
-                made = getattr(self, str(node.data))(node.meta, done[first:])
-                done[first:] = [made]
+                built.append(node)
+            elif children_built:
+                first = len(built) - len(node.children)
+                built_node = getattr(self, str(node.data))(node.meta, built[first:])
+                built[first:] = [built_node]
             else:
-                todo.append((node, True))
-                todo += [(child, False) for child in reversed(node.children)]
-        return done[0]
+                pending.append((node, True))
+                pending += [(child, False) for child in reversed(node.children)]
+        return built[0]
 
     def _literal(self, meta: Any, kind: t.Type, value: Any) -> Literal:
         if kind in t.INTEGER_TYPES and not value <= t.MAX_INT:
@@ -192,8 +192,8 @@
     def false(self, meta: Any, _: list[Token]) -> Literal:
         return self._literal(meta, t.BOOL, False)
 
-    def string(self, meta: Any, c: list[Token]) -> Literal:
-        return self._literal(meta, t.STRING, self.string_value(c[0]))
+    def string(self, meta: Any, children: list[Token]) -> Literal:
+        return self._literal(meta, t.STRING, self.string_value(children[0]))
 
     def string_value(self, token: Token) -> str:
         span = Span(token.start_pos or 0, token.end_pos or 0)
@@ -201,126 +201,126 @@
             raise _SyntaxFaultError(span, f"a string over {MAX_LITERAL_CHARS} characters")
         return _unescape(token[1:-1], span)
 
-    def raw(self, meta: Any, c: list[Token]) -> Literal:
-        if len(c[0]) > MAX_LITERAL_CHARS + 3:
+    def raw(self, meta: Any, children: list[Token]) -> Literal:
+        if len(children[0]) > MAX_LITERAL_CHARS + 3:
             raise _SyntaxFaultError(_span(meta), f"a string over {MAX_LITERAL_CHARS} characters")
-        return self._literal(meta, t.STRING, str(c[0][2:-1]))
+        return self._literal(meta, t.STRING, str(children[0][2:-1]))
 
     def _checked_digits(self, meta: Any, digits: str) -> str:
         if len(digits) > 30:  # guards against a number that takes long to convert
             raise _SyntaxFaultError(_span(meta), f"too large; expected at most {t.MAX_INT}")
         return digits
 
-    def duration(self, meta: Any, c: list[Token]) -> Literal:
-        digits = c[0].rstrip("umsh")
-        value = round(float(self._checked_digits(meta, digits)) * DURATION_UNITS[c[0][len(digits) :]])
+    def duration(self, meta: Any, children: list[Token]) -> Literal:
+        digits = children[0].rstrip("umsh")
+        value = round(float(self._checked_digits(meta, digits)) * DURATION_UNITS[children[0][len(digits) :]])
         return self._literal(meta, t.DURATION, value)
 
-    def bytesize(self, meta: Any, c: list[Token]) -> Literal:
-        digits = c[0].rstrip("BKMGi")
+    def bytesize(self, meta: Any, children: list[Token]) -> Literal:
+        digits = children[0].rstrip("BKMGi")
         return self._literal(
-            meta, t.SIZE, int(self._checked_digits(meta, digits)) * SIZE_UNITS[c[0][len(digits) :]]
+            meta, t.SIZE, int(self._checked_digits(meta, digits)) * SIZE_UNITS[children[0][len(digits) :]]
         )
 
-    def float(self, meta: Any, c: list[Token]) -> Literal:
-        return self._literal(meta, t.FLOAT, float(self._checked_digits(meta, str(c[0]))))
+    def float(self, meta: Any, children: list[Token]) -> Literal:
+        return self._literal(meta, t.FLOAT, float(self._checked_digits(meta, str(children[0]))))
 
-    def integer(self, meta: Any, c: list[Token]) -> Literal:
-        return self._literal(meta, t.INT, int(self._checked_digits(meta, str(c[0]))))
+    def integer(self, meta: Any, children: list[Token]) -> Literal:
+        return self._literal(meta, t.INT, int(self._checked_digits(meta, str(children[0]))))
 
-    def name(self, meta: Any, c: list[Token]) -> Name:
-        return Name(_span(meta), 1, str(c[0]))
+    def name(self, meta: Any, children: list[Token]) -> Name:
+        return Name(_span(meta), 1, str(children[0]))
 
-    def group(self, meta: Any, c: list[Node]) -> Node:
-        return c[0]
+    def group(self, meta: Any, children: list[Node]) -> Node:
+        return children[0]
 
-    def _apply(self, meta: Any, op: str, args: list[Any]) -> Operation:
+    def _operation(self, meta: Any, op: str, args: list[Any]) -> Operation:
         return cast(Operation, _make_node(Operation, meta, args, op, tuple(args)))
 
-    def call(self, meta: Any, c: list[Any]) -> Operation:
-        return self._apply(meta, str(c[0]), [a for a in c[1:] if a is not None])
+    def call(self, meta: Any, children: list[Any]) -> Operation:
+        return self._operation(meta, str(children[0]), [a for a in children[1:] if a is not None])
 
-    def or_(self, meta: Any, c: list[Any]) -> Operation:
-        return self._apply(meta, "or", c)
+    def or_(self, meta: Any, children: list[Any]) -> Operation:
+        return self._operation(meta, "or", children)
 
-    def and_(self, meta: Any, c: list[Any]) -> Operation:
-        return self._apply(meta, "and", c)
+    def and_(self, meta: Any, children: list[Any]) -> Operation:
+        return self._operation(meta, "and", children)
 
-    def not_(self, meta: Any, c: list[Any]) -> Operation:
-        return self._apply(meta, "not", c)
+    def not_(self, meta: Any, children: list[Any]) -> Operation:
+        return self._operation(meta, "not", children)
 
-    def compare(self, meta: Any, c: list[Any]) -> Operation:
-        return self._apply(meta, str(c[1]), [c[0], c[2]])
+    def compare(self, meta: Any, children: list[Any]) -> Operation:
+        return self._operation(meta, str(children[1]), [children[0], children[2]])
 
-    def not_in(self, meta: Any, c: list[Any]) -> Operation:
-        return self._apply(meta, "not", [self._apply(meta, "in", c)])
+    def not_in(self, meta: Any, children: list[Any]) -> Operation:
+        return self._operation(meta, "not", [self._operation(meta, "in", children)])
 
-    def coalesce(self, meta: Any, c: list[Any]) -> Any:
-        node = c[-1]
-        for left in reversed(c[:-1]):
-            node = self._apply(meta, "??", [left, node])
+    def coalesce(self, meta: Any, children: list[Any]) -> Any:
+        node = children[-1]
+        for left in reversed(children[:-1]):
+            node = self._operation(meta, "??", [left, node])
         return node
 
-    def binary(self, meta: Any, c: list[Any]) -> Operation:
-        return self._apply(meta, str(c[1]), [c[0], c[2]])
+    def binary(self, meta: Any, children: list[Any]) -> Operation:
+        return self._operation(meta, str(children[1]), [children[0], children[2]])
 
-    def negative(self, meta: Any, c: list[Any]) -> Node:
-        if isinstance(c[0], Literal) and c[0].type in t.NUMERIC_TYPES:
-            return Literal(_span(meta), 1, c[0].type, -c[0].value)
-        return self._apply(meta, "negative", c)
+    def negative(self, meta: Any, children: list[Any]) -> Node:
+        if isinstance(children[0], Literal) and children[0].type in t.NUMERIC_TYPES:
+            return Literal(_span(meta), 1, children[0].type, -children[0].value)
+        return self._operation(meta, "negative", children)
 
-    def index(self, meta: Any, c: list[Any]) -> Operation:
-        return self._apply(meta, "index", c)
+    def index(self, meta: Any, children: list[Any]) -> Operation:
+        return self._operation(meta, "index", children)
 
-    def choice(self, meta: Any, c: list[Any]) -> Operation:
-        return self._apply(meta, "if", c)
+    def choice(self, meta: Any, children: list[Any]) -> Operation:
+        return self._operation(meta, "if", children)
 
-    def let(self, meta: Any, c: list[Any]) -> Let:
-        return cast(Let, _make_node(Let, meta, c[1:], str(c[0]), c[1], c[2]))
+    def let(self, meta: Any, children: list[Any]) -> Let:
+        return cast(Let, _make_node(Let, meta, children[1:], str(children[0]), children[1], children[2]))
 
-    def items(self, meta: Any, c: list[Any]) -> ListLiteral:
-        items = [a for a in c if a is not None]
+    def items(self, meta: Any, children: list[Any]) -> ListLiteral:
+        items = [a for a in children if a is not None]
         return cast(ListLiteral, _make_node(ListLiteral, meta, items, tuple(items)))
 
-    def pair(self, meta: Any, c: list[Any]) -> tuple[Node, Node]:
-        return c[0], c[1]
+    def pair(self, meta: Any, children: list[Any]) -> tuple[Node, Node]:
+        return children[0], children[1]
 
-    def pairs(self, meta: Any, c: list[Any]) -> MapLiteral:
-        pairs = [a for a in c if a is not None]
+    def pairs(self, meta: Any, children: list[Any]) -> MapLiteral:
+        pairs = [a for a in children if a is not None]
         return cast(MapLiteral, _make_node(MapLiteral, meta, [n for p in pairs for n in p], tuple(pairs)))
 
-    def members(self, meta: Any, c: list[Any]) -> tuple[tuple[str, Span], ...]:
-        found = [a for a in c if a is not None]
+    def members(self, meta: Any, children: list[Any]) -> tuple[tuple[str, Span], ...]:
+        found = [a for a in children if a is not None]
         return tuple((self.string_value(a), Span(a.start_pos or 0, a.end_pos or 0)) for a in found)
 
-    def set_(self, meta: Any, c: list[Any]) -> NamedSet:
-        if isinstance(c[2], tuple):
-            return NamedSet(_span(meta), str(c[0]), str(c[1]), members=c[2])
-        return NamedSet(_span(meta), str(c[0]), str(c[1]), file=self.string_value(c[2]))
+    def set_(self, meta: Any, children: list[Any]) -> NamedSet:
+        if isinstance(children[2], tuple):
+            return NamedSet(_span(meta), str(children[0]), str(children[1]), members=children[2])
+        return NamedSet(_span(meta), str(children[0]), str(children[1]), file=self.string_value(children[2]))
 
-    def define(self, meta: Any, c: list[Any]) -> Define:
-        return Define(_span(meta), str(c[0]), c[1])
+    def define(self, meta: Any, children: list[Any]) -> Define:
+        return Define(_span(meta), str(children[0]), children[1])
 
-    def body(self, meta: Any, c: list[Any]) -> tuple[Output, ...]:
-        return tuple(c)
+    def body(self, meta: Any, children: list[Any]) -> tuple[Output, ...]:
+        return tuple(children)
 
-    def plain_output(self, meta: Any, c: list[Any]) -> Output:
-        return Output(_span(meta), str(c[0]), c[1])
+    def plain_output(self, meta: Any, children: list[Any]) -> Output:
+        return Output(_span(meta), str(children[0]), children[1])
 
-    def label_output(self, meta: Any, c: list[Any]) -> Output:
-        return Output(_span(meta), "label", c[1], str(c[0]))
+    def label_output(self, meta: Any, children: list[Any]) -> Output:
+        return Output(_span(meta), "label", children[1], str(children[0]))
 
-    def refusal(self, meta: Any, c: list[Any]) -> Output:
-        return Output(_span(meta), "refuse", c[0])
+    def refusal(self, meta: Any, children: list[Any]) -> Output:
+        return Output(_span(meta), "refuse", children[0])
 
-    def rule(self, meta: Any, c: list[Any]) -> Rule:
-        return Rule(_span(meta), self.string_value(c[0]), c[1], c[2])
+    def rule(self, meta: Any, children: list[Any]) -> Rule:
+        return Rule(_span(meta), self.string_value(children[0]), children[1], children[2])
 
-    def default(self, meta: Any, c: list[Any]) -> Rule:
-        return Rule(_span(meta), "default", None, c[0])
+    def default(self, meta: Any, children: list[Any]) -> Rule:
+        return Rule(_span(meta), "default", None, children[0])
 
-    def item(self, meta: Any, c: list[Any]) -> Any:
-        return c[0]
+    def item(self, meta: Any, children: list[Any]) -> Any:
+        return children[0]
 
 
 @cache
@@ -357,7 +357,7 @@
     def __init__(self, faults: Faults, offset: int) -> None:
         self.faults, self.offset = faults, offset
 
-    def span(self, span: Span) -> Span:
+    def file_span(self, span: Span) -> Span:
         return Span(span.start + self.offset, span.end + self.offset)
 
     def parse(self, text: str, start: str) -> Any:
@@ -365,19 +365,21 @@
         try:
             return _Builder().build(_parser(start).parse(text))
         except UnexpectedToken as err:
-            at = err.token.start_pos if err.token.type != "$END" else len(text.rstrip())
+            position = err.token.start_pos if err.token.type != "$END" else len(text.rstrip())
             found = excerpt(str(err.token)) if err.token.type != "$END" else "the end"
             end = err.token.end_pos or 0
             self.faults.add(
-                self.span(Span(at or 0, end)), _describe_expected(set(err.accepts or err.expected)), found
+                self.file_span(Span(position or 0, end)),
+                _describe_expected(set(err.accepts or err.expected)),
+                found,
             )
         except UnexpectedCharacters as err:
-            at = err.pos_in_stream or 0
-            what = '"' if text[at] == '"' else ""
-            expected = "a string that ends on its line" if what else "a character of the language"
-            self.faults.add(self.span(Span(at, at + 1)), f"expected {expected}")
+            position = err.pos_in_stream or 0
+            opening_quote = '"' if text[position] == '"' else ""
+            expected = "a string that ends on its line" if opening_quote else "a character of the language"
+            self.faults.add(self.file_span(Span(position, position + 1)), f"expected {expected}")
         except _SyntaxFaultError as err:
-            self.faults.add(self.span(err.span), err.expected)
+            self.faults.add(self.file_span(err.span), err.expected)
         return None
 
 
@@ -397,11 +399,11 @@
         )
         return []
     starts = [m.start() for m in ITEM_START.finditer(text)]
-    blank = BLANK_OR_COMMENT.match(text)
-    first = blank.end() if blank else 0
-    if first < (starts[0] if starts else len(text)):
-        line_end = text.find("\n", first)
-        span = Span(first, line_end if line_end >= 0 else len(text))
+    leading_blank = BLANK_OR_COMMENT.match(text)
+    content_start = leading_blank.end() if leading_blank else 0
+    if content_start < (starts[0] if starts else len(text)):
+        line_end = text.find("\n", content_start)
+        span = Span(content_start, line_end if line_end >= 0 else len(text))
         faults.add(span, "expected set, define, rule or default at the start of a line")
     items = []
     # The list of ends has one entry more than `starts` if there is no item.
--- a/violetdoor/match/load.py
+++ b/violetdoor/match/load.py
@@ -15,7 +15,7 @@
 from violetdoor.match.plan import Costs, Planner, RulePlan, split_terms, unreachable_rules
 from violetdoor.match.prices import price_table
 from violetdoor.match.runtime import FORMAT_VERSION, RuleSet
-from violetdoor.match.typed import Graph, Typed
+from violetdoor.match.typed import Graph, TypedNode
 from violetdoor.match.types import BOOL, ERROR_TYPE, INT, PREFIX_SET, STRING, STRING_SET, Schema
 
 MAX_RULES = 20_000
@@ -36,9 +36,9 @@
     name: str
     rule: tree.Rule
     offset: int  # of the rule in the source, in characters
-    when: Typed
-    outputs: dict[str, Typed]
-    labels: dict[str, Typed]
+    when: TypedNode
+    outputs: dict[str, TypedNode]
+    labels: dict[str, TypedNode]
     cost_ns: float = 0.0
 
 
@@ -58,7 +58,7 @@
         return RuleSet(self.data).build()
 
 
-def no_files(name: str) -> str:
+def reject_file(name: str) -> str:
     """Reject every file: rules that are loaded without a folder cannot read sets from files."""
     raise OSError(f"no file {name!r} here")
 
@@ -70,11 +70,11 @@
     schema: Schema
     classes: Collection[str] | None = None  # that outputs may name; None allows any
     limit_us: float = DEFAULT_LIMIT_US
-    read: ReadFile = no_files
+    read_file: ReadFile = reject_file
     file: str = "rules"
     first_line: int = 1
     first_column: int = 1
-    emitter: Callable[[dict[int, Typed]], Emitter] = Emitter
+    emitter: Callable[[dict[int, TypedNode]], Emitter] = Emitter
 
     def load(self, text: str) -> Loaded:
         """Return the rules of a text; raises RulesError with all faults."""
@@ -96,9 +96,11 @@
         assert default is not None
         plans = [RulePlan(r.name, split_terms(r.when)) for r in rules]
         planner = Planner(plans, checker.sets)
-        for at, why in unreachable_rules(planner):
+        for index, reason in unreachable_rules(planner):
             faults.add(
-                Span(rules[at].offset, rules[at].offset), f"unreachable: {why}", excerpt(rules[at].name)
+                Span(rules[index].offset, rules[index].offset),
+                f"unreachable: {reason}",
+                excerpt(rules[index].name),
             )
         faults.raise_if_any()
         data = self.compile(rules, default, planner, checker, faults)
@@ -135,18 +137,18 @@
         file_faults: list[Faults] = []
         remaining_members = MAX_SET_MEMBERS
         for item in source.sets:
-            start = offsets[id(item)]
-            faults, shift = checker.faults, start
+            item_offset = offsets[id(item)]
+            member_faults, offset = checker.faults, item_offset
             members: list[tuple[str, Span]] = list(item.members)
             if item.file:
                 try:
-                    text = self.read(item.file)
+                    text = self.read_file(item.file)
                 except (OSError, ValueError) as err:
-                    why = getattr(err, "strerror", None) or str(err)
-                    checker.faults.add(self.item_span(item, offsets), f"{item.file}: {why}")
+                    reason = getattr(err, "strerror", None) or str(err)
+                    checker.faults.add(self.item_span(item, offsets), f"{item.file}: {reason}")
                     continue
-                faults, shift = Faults(item.file, text), 0
-                file_faults.append(faults)
+                member_faults, offset = Faults(item.file, text), 0
+                file_faults.append(member_faults)
                 members = list(parse_members(text))
             remaining_members -= len(members)
             if remaining_members < 0:
@@ -154,44 +156,46 @@
                 checker.faults.add(self.item_span(item, offsets), expected)
                 break
             kind = STRING_SET if item.kind == "strings" else PREFIX_SET
-            set_index = self.add_members(kind, members, checker, faults, shift)
-            checker.sets.by_name.setdefault(item.name, Typed("set", kind, value=set_index))
+            set_index = self.add_members(kind, members, checker, member_faults, offset)
+            checker.sets.by_name.setdefault(item.name, TypedNode("set", kind, value=set_index))
         return file_faults
 
     def add_members(
-        self, kind: Any, members: list[tuple[str, Span]], checker: Checker, faults: Faults, shift: int
+        self, kind: Any, members: list[tuple[str, Span]], checker: Checker, faults: Faults, offset: int
     ) -> int:
         if kind == STRING_SET:
             checker.sets.string_sets.append(frozenset(text for text, _ in members))
             return len(checker.sets.string_sets) - 1
-        found: dict[tuple[bytes, int], None] = {}
+        prefixes: dict[tuple[bytes, int], None] = {}
         for text, span in members:
-            network = parse_prefix(text)
-            if network is None:
+            prefix = parse_prefix(text)
+            if prefix is None:
                 expected = "expected an address or a prefix with no bits set behind its length"
-                faults.add(Span(span.start + shift, span.end + shift), expected)
+                faults.add(Span(span.start + offset, span.end + offset), expected)
             else:
-                found[network] = None
-        checker.sets.prefix_sets.append(tuple(found))
+                prefixes[prefix] = None
+        checker.sets.prefix_sets.append(tuple(prefixes))
         return len(checker.sets.prefix_sets) - 1
 
     def check_defines(self, source: tree.Source, offsets: dict[int, int], checker: Checker) -> None:
         """Type-check the named expressions, each after those that it uses."""
-        named = {d.name: d for d in source.defines}
-        uses = {name: used_names(d.body) & named.keys() for name, d in named.items()}
-        sorter = graphlib.TopologicalSorter(uses)
+        defines = {definition.name: definition for definition in source.defines}
+        dependencies = {
+            name: used_names(definition.body) & defines.keys() for name, definition in defines.items()
+        }
+        sorter = graphlib.TopologicalSorter(dependencies)
         try:
             order = list(sorter.static_order())
         except graphlib.CycleError as err:
             cycle = [str(name) for name in reversed(err.args[1])]
-            first = named[cycle[0]]
+            first = defines[cycle[0]]
             checker.faults.add(
                 self.item_span(first, offsets), f"named expressions in a circle: {' -> '.join(cycle)}"
             )
             order = []
-            checker.defines.update({name: checker.error_node for name in named})
+            checker.defines.update({name: checker.error_node for name in defines})
         for name in order:
-            define = named[name]
+            define = defines[name]
             checker.offset = offsets[id(define)]
             checker.defines[name] = checker.check(define.body)
 
@@ -203,20 +207,20 @@
         when = checker.graph.constant(BOOL, True)
         if rule.when is not None:
             when = checker.require_type(rule.when, checker.check(rule.when), BOOL)
-        outputs: dict[str, Typed] = {}
-        labels: dict[str, Typed] = {}
+        outputs: dict[str, TypedNode] = {}
+        labels: dict[str, TypedNode] = {}
         for output in rule.outputs:
             value = self.check_output(output, checker)
-            held, name = (labels, output.label) if output.name == "label" else (outputs, output.name)
+            destination, name = (labels, output.label) if output.name == "label" else (outputs, output.name)
             if output.name not in self.schema.outputs:
                 supported = ", ".join(sorted(self.schema.outputs))
                 checker.report(output.span, f"{self.schema.front} can't use it; expected one of {supported}")
-            if name in held or len(labels) >= MAX_LABELS:
+            if name in destination or len(labels) >= MAX_LABELS:
                 checker.report(output.span, "expected each output once, and at most 16 labels")
-            held[name] = value
+            destination[name] = value
         return CheckedRule(rule.name, rule, offset, when, outputs, labels)
 
-    def check_output(self, output: tree.Output, checker: Checker) -> Typed:
+    def check_output(self, output: tree.Output, checker: Checker) -> TypedNode:
         value = checker.require_type(
             output.value, checker.check(output.value), OUTPUT_TYPES.get(output.name, STRING)
         )
@@ -248,7 +252,7 @@
         """Return the data that a serving process takes; report a fault if the set costs too much."""
         groups = planner.plan_groups()
         all_rules = [*rules, default]
-        roots: list[Typed] = [g.value for g in groups]
+        roots: list[TypedNode] = [g.value for g in groups]
         for plan in planner.rules:
             roots += plan.remaining_terms
         for rule in all_rules:
@@ -257,40 +261,46 @@
         costs = Costs(step_cost_ns("memo"), 2 * step_cost_ns("memo"))
         costs.analyze(roots)
         emitter = self.emitter(costs.shared)
-        tables, worst_ns = [], step_cost_ns("decide")
+        group_tables, worst_ns = [], step_cost_ns("decide")
         for n, group in enumerate(groups):
-            found, rules_to_test = planner.lookup_table(group)
-            lookups = len(found) if group.kind == "prefix" else 1
+            table, rules_to_test = planner.lookup_table(group)
+            lookups = len(table) if group.kind == "prefix" else 1
             worst_ns += (
                 step_cost_ns("net" if group.kind == "net" else "lookup", group.value.max_bytes) * lookups
             )
             worst_ns += costs.cost_of(group.value)
             worst_ns += max(
                 (
-                    sum(self.rule_test_cost_ns(planner.rules[at], costs, step_cost_ns) for at in c)
-                    for c in rules_to_test
+                    sum(
+                        self.rule_test_cost_ns(planner.rules[index], costs, step_cost_ns) for index in indexes
+                    )
+                    for indexes in rules_to_test
                 ),
                 default=0.0,
             )
-            tables.append((group.kind, emitter.function(f"g{n}", group.value), found))
-        fixed = tuple(at for at, plan in enumerate(planner.rules) if plan.index_term is None)
-        worst_ns += sum(self.rule_test_cost_ns(planner.rules[at], costs, step_cost_ns) for at in fixed)
+            group_tables.append((group.kind, emitter.function(f"g{n}", group.value), table))
+        ungrouped = tuple(index for index, plan in enumerate(planner.rules) if plan.index_term is None)
+        worst_ns += sum(
+            self.rule_test_cost_ns(planner.rules[index], costs, step_cost_ns) for index in ungrouped
+        )
         outputs = [self.emit_verdict(f"o{n}", rule, emitter, costs) for n, rule in enumerate(all_rules)]
         worst_ns += step_cost_ns("verdict") + max(cost for _, cost in outputs) + costs.shared_cost_ns()
-        rows = []
+        compiled_rules = []
         for n, plan in enumerate(planner.rules):
             rules[n].cost_ns = self.rule_test_cost_ns(plan, costs, step_cost_ns) + outputs[n][1]
-            rows.append((emitter.conjunction(f"w{n}", plan.remaining_terms), outputs[n][0]))
+            compiled_rules.append((emitter.conjunction(f"w{n}", plan.remaining_terms), outputs[n][0]))
         self.check_cost(worst_ns, rules, costs, faults)
-        texts = {n for table_, n in emitter.used_sets if table_ == "S"}
-        nets = {n for table_, n in emitter.used_sets if table_ == "N"}
+        used_string_sets = {n for table_, n in emitter.used_sets if table_ == "S"}
+        used_prefix_sets = {n for table_, n in emitter.used_sets if table_ == "N"}
         return {
             "format": FORMAT_VERSION, "names": [r.name for r in rules], "used": sorted(emitter.used_fields),
-            "cost": worst_ns, "origin": self.file, "shared": len(costs.shared), "fixed": fixed,
+            "cost": worst_ns, "origin": self.file, "shared": len(costs.shared), "fixed": ungrouped,
             "patterns": emitter.patterns, "constants": emitter.constants, "code": emitter.compile_functions(),
-            "rules": rows, "default": outputs[-1][0], "groups": tables,
-            "texts": [held if n in texts else frozenset() for n, held in enumerate(checker.sets.string_sets)],
-            "nets": [held if n in nets else () for n, held in enumerate(checker.sets.prefix_sets)],
+            "rules": compiled_rules, "default": outputs[-1][0], "groups": group_tables,
+            "texts": [members if n in used_string_sets else frozenset()
+                      for n, members in enumerate(checker.sets.string_sets)],
+            "nets": [members if n in used_prefix_sets else ()
+                     for n, members in enumerate(checker.sets.prefix_sets)],
         }  # fmt: skip
 
     @staticmethod
@@ -301,14 +311,14 @@
     def emit_verdict(self, name: str, rule: CheckedRule, emitter: Emitter, costs: Costs) -> tuple[Any, float]:
         """Return a rule's verdict and its cost: the values if all are constants, else a function's name."""
         values = [rule.outputs.get(output) for output in VERDICT_OUTPUTS]
-        held = [*values, *rule.labels.values()]
-        cost = sum(costs.cost_of(v) for v in held if v is not None)
-        if all(v is None or v.is_constant for v in held):
+        nodes = [*values, *rule.labels.values()]
+        cost_ns = sum(costs.cost_of(v) for v in nodes if v is not None)
+        if all(v is None or v.is_constant for v in nodes):
             labels = {label: v.value for label, v in rule.labels.items()}
-            return (rule.name, *(v.value if v else None for v in values), labels), cost
-        parts = ", ".join("None" if v is None else emitter.code(v) for v in values)
+            return (rule.name, *(v.value if v else None for v in values), labels), cost_ns
+        values_code = ", ".join("None" if v is None else emitter.code(v) for v in values)
         labels_code = ", ".join(f"{label!r}: {emitter.code(v)}" for label, v in rule.labels.items())
-        return emitter.define(name, f"V({rule.name!r}, {parts}, {{{labels_code}}})"), cost
+        return emitter.define(name, f"V({rule.name!r}, {values_code}, {{{labels_code}}})"), cost_ns
 
     def check_cost(self, worst_ns: float, rules: list[CheckedRule], costs: Costs, faults: Faults) -> None:
         """Report a fault if the set could cost a request more than the limit."""
@@ -326,7 +336,7 @@
         )
 
 
-def possible_constants(value: Typed) -> Iterator[str]:
+def possible_constants(value: TypedNode) -> Iterator[str]:
     """Yield the constants that an output can be, as far as they are known at load."""
     if value.is_constant:
         if isinstance(value.value, str):
@@ -334,33 +344,33 @@
         elif isinstance(value.value, dict):
             yield from value.value.values()
     elif value.op in ("if", "??"):
-        yield from (class_name for arg in value.args[-2:] for class_name in possible_constants(arg))
+        yield from (constant for arg in value.args[-2:] for constant in possible_constants(arg))
     elif value.op == "get":
         yield from possible_constants(value.args[0])
 
 
 def used_names(node: tree.Node) -> set[str]:
     """Return all names that an expression uses."""
-    found, todo = set[str](), [node]
-    while todo:
-        match todo.pop():
+    names, pending = set[str](), [node]
+    while pending:
+        match pending.pop():
             case tree.Name(name=name):
-                found.add(name)
+                names.add(name)
             case tree.Operation(args=args) | tree.ListLiteral(items=args):
-                todo += args
+                pending += args
             case tree.Let(value=value, body=body):
-                todo += [value, body]
+                pending += [value, body]
             case tree.MapLiteral(pairs=pairs):
-                todo += [n for p in pairs for n in p]
-    return found
+                pending += [n for p in pairs for n in p]
+    return names
 
 
 def parse_members(text: str) -> Iterator[tuple[str, Span]]:
     """Yield the members listed in a set's file, one a line; blank lines and comments are skipped."""
-    at = 0
+    line_start = 0
     for line in text.splitlines(keepends=True):
         member = line.partition("#")[0].strip()
         if member:
-            start = at + line.index(member)
+            start = line_start + line.index(member)
             yield member, Span(start, start + len(member))
-        at += len(line)
+        line_start += len(line)
--- a/violetdoor/match/plan.py
+++ b/violetdoor/match/plan.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from violetdoor.match.check import Sets, constant_alternatives
-from violetdoor.match.typed import Typed
+from violetdoor.match.typed import TypedNode
 
 MIN_GROUP_RULES = 4  # fewest rules testing the same value for which a look-up is worth its cost
 MAX_PREFIX_LENGTHS = 24  # different lengths of string prefixes in one look-up
@@ -24,11 +24,11 @@
     """A rule's condition as terms that must all hold; without terms it always holds."""
 
     name: str
-    terms: tuple[Typed, ...]
-    index_term: Typed | None = None  # the term that a look-up replaces
+    terms: tuple[TypedNode, ...]
+    index_term: TypedNode | None = None  # the term that a look-up replaces
 
     @property
-    def remaining_terms(self) -> tuple[Typed, ...]:
+    def remaining_terms(self) -> tuple[TypedNode, ...]:
         """The terms that must be tested after the look-up."""
         return tuple(t for t in self.terms if t is not self.index_term)
 
@@ -38,11 +38,11 @@
     """Rules that are looked up by the same value."""
 
     kind: str  # "value", "prefix" (of a string) or "net" (address prefix)
-    value: Typed
+    value: TypedNode
     rules: list[int] = field(default_factory=list)
 
 
-def split_terms(when: Typed) -> tuple[Typed, ...]:
+def split_terms(when: TypedNode) -> tuple[TypedNode, ...]:
     """Return the terms of a condition that must all hold."""
     if when.is_constant:
         return () if when.value else (when,)
@@ -54,9 +54,9 @@
 
     def __init__(self, rules: list[RulePlan], sets: Sets) -> None:
         self.rules, self.sets = rules, sets
-        self.entries = 0
+        self.entry_count = 0
 
-    def lookup_keys(self, term: Typed) -> tuple[str, Iterable[Any]] | None:
+    def lookup_keys(self, term: TypedNode) -> tuple[str, Iterable[Any]] | None:
         """Return the kind of look-up that can replace a term and its keys, None if no look-up can."""
         if (found := constant_alternatives(term)) is not None:
             return "value", found[1]
@@ -71,10 +71,10 @@
     def plan_groups(self) -> list[Group]:
         """Choose for each rule the term whose look-up it shares with the most other rules."""
         found: dict[tuple[str, int], Group] = {}
-        candidates_by_rule: list[list[tuple[tuple[str, int], Typed]]] = []
+        candidates_by_rule: list[list[tuple[tuple[str, int], TypedNode]]] = []
         rule_count: Counter[tuple[str, int]] = Counter()
         for rule in self.rules:
-            candidates: list[tuple[tuple[str, int], Typed]] = []
+            candidates: list[tuple[tuple[str, int], TypedNode]] = []
             for term in rule.terms:
                 if keys := self.lookup_keys(term):
                     candidates.append(((keys[0], term.args[0].node_id), term))
@@ -102,15 +102,15 @@
         lengths: Counter[int] = Counter()
         if group.kind == "prefix":
             lengths.update(len(self._index_keys(index)[0]) for index in group.rules)
-        common = {n for n, _ in lengths.most_common(MAX_PREFIX_LENGTHS)}
+        common_lengths = {n for n, _ in lengths.most_common(MAX_PREFIX_LENGTHS)}
         kept_rules = []
         for index in group.rules:
             keys = self._index_keys(index)
-            too_many = self.entries + len(keys) > MAX_LOOKUP_ENTRIES
-            if too_many or (group.kind == "prefix" and len(keys[0]) not in common):
+            too_many = self.entry_count + len(keys) > MAX_LOOKUP_ENTRIES
+            if too_many or (group.kind == "prefix" and len(keys[0]) not in common_lengths):
                 self.rules[index].index_term = None
             else:
-                self.entries += len(keys)
+                self.entry_count += len(keys)
                 kept_rules.append(index)
         group.rules = kept_rules
 
@@ -161,8 +161,8 @@
         """Yield the added prefixes that contain this one, itself included."""
         bits, number = len(prefix[0]) * 8, int.from_bytes(prefix[0], "big")
         for (family, length), numbers in self.by_length.items():
-            if family == bits and length <= prefix[1] and (top := number >> (bits - length)) in numbers:
-                yield (top << (bits - length)).to_bytes(bits // 8, "big"), length
+            if family == bits and length <= prefix[1] and (network := number >> (bits - length)) in numbers:
+                yield (network << (bits - length)).to_bytes(bits // 8, "big"), length
 
 
 @dataclass(slots=True)
@@ -245,9 +245,9 @@
     allowed: dict[int, set[Any]] = {}
     for term in rule.terms:
         if (found := planner.lookup_keys(term)) and found[0] == "value":
-            value = term.args[0].node_id
-            allowed[value] = allowed.get(value, set(found[1])) & set(found[1])
-            if not allowed[value]:
+            value_id = term.args[0].node_id
+            allowed[value_id] = allowed.get(value_id, set(found[1])) & set(found[1])
+            if not allowed[value_id]:
                 return "its terms exclude each other"
     return ""
 
@@ -259,33 +259,33 @@
     shared_read_ns: float  # cost of reading a shared value that is already computed
     min_shared_cost_ns: float  # cheaper expressions are computed at each use
     total_ns: dict[int, float] = field(default_factory=dict)
-    shared: dict[int, Typed] = field(default_factory=dict)
+    shared: dict[int, TypedNode] = field(default_factory=dict)
 
-    def analyze(self, roots: Iterable[Typed]) -> None:
+    def analyze(self, roots: Iterable[TypedNode]) -> None:
         """Find the nodes below these roots that are worth sharing, and the cost of every node."""
         uses: Counter[int] = Counter()
-        parts: dict[int, Typed] = {}
+        nodes: dict[int, TypedNode] = {}
         for root in roots:
             uses[root.node_id] += 1
-            todo = [root]
-            while todo:
-                node = todo.pop()
-                if node.node_id not in parts:
-                    parts[node.node_id] = node
+            pending = [root]
+            while pending:
+                node = pending.pop()
+                if node.node_id not in nodes:
+                    nodes[node.node_id] = node
                     for arg in node.args:
                         uses[arg.node_id] += 1
-                        todo.append(arg)
-        for number in sorted(parts):  # operands have lower ids than the nodes that use them
-            node = parts[number]
+                        pending.append(arg)
+        for node_id in sorted(nodes):  # operands have lower ids than the nodes that use them
+            node = nodes[node_id]
             cost = node.own_cost_ns + sum(self.cost_of(arg) for arg in node.args)
-            self.total_ns[number] = cost
-            if uses[number] > 1 and node.args and cost >= self.min_shared_cost_ns:
-                self.shared[number] = node
+            self.total_ns[node_id] = cost
+            if uses[node_id] > 1 and node.args and cost >= self.min_shared_cost_ns:
+                self.shared[node_id] = node
 
-    def cost_of(self, node: Typed) -> float:
+    def cost_of(self, node: TypedNode) -> float:
         """Return the cost of a node at each use."""
         return self.shared_read_ns if node.node_id in self.shared else self.total_ns[node.node_id]
 
     def shared_cost_ns(self) -> float:
         """Return the cost of computing each shared node once."""
-        return sum(self.total_ns[number] for number in self.shared)
+        return sum(self.total_ns[node_id] for node_id in self.shared)
--- a/violetdoor/match/runtime.py
+++ b/violetdoor/match/runtime.py
@@ -201,10 +201,10 @@
         namespace["P"] = [compile_pattern(pattern) for pattern in data["patterns"]]
         namespace["S"] = data["texts"]
         namespace["C"] = data["constants"]
-        namespace["N"] = nets = []
+        namespace["N"] = prefix_tables = []
         for members in data["nets"]:
-            nets.append(PrefixTable())
-            yield from nets[-1].fill((address, length, True) for address, length in members)
+            prefix_tables.append(PrefixTable())
+            yield from prefix_tables[-1].fill((address, length, True) for address, length in members)
         for blob in data["code"]:
             code = marshal.loads(blob)
             assert isinstance(code, CodeType)
@@ -225,9 +225,9 @@
         self._default = outcome(data["default"])
         for kind, read_value, table in data["groups"]:
             if kind == "net":
-                tree = PrefixTable()
-                yield from tree.fill(table)
-                table = tree
+                prefix_table = PrefixTable()
+                yield from prefix_table.fill(table)
+                table = prefix_table
             self._groups.append(_Group(kind, step(read_value), table))
         self._data = {}
 
@@ -240,40 +240,40 @@
     def candidates(self, request: Request, memo: list[Any]) -> list[int] | tuple[int, ...]:
         """Return the indexes of the rules that can match, in order."""
         found: list[int] | tuple[int, ...] = self._ungrouped
-        merged = False
+        unsorted = False
         for group in self._groups:
             value = group.read_value(request, memo)
             if value is None:
                 continue
             if group.kind == "prefix":
                 for length, table in group.table:
-                    if more := table.get(value[:length]):
-                        merged = merged or bool(found)
-                        found = (*found, *more)
-            elif more := group.table.get(value):
-                merged = merged or bool(found)
-                found = (*found, *more)
-        return sorted(found) if merged else found
+                    if matching := table.get(value[:length]):
+                        unsorted = unsorted or bool(found)
+                        found = (*found, *matching)
+            elif matching := group.table.get(value):
+                unsorted = unsorted or bool(found)
+                found = (*found, *matching)
+        return sorted(found) if unsorted else found
 
     def decide(self, request: Request) -> Verdict:
         """Return the verdict of the first rule that matches, else the default's; never raises.
 
-        If a rule fails at run time, its request gets the default verdict and the failure is counted.
+        If a rule fails index run time, its request gets the default verdict and the failure is counted.
         """
         memo = self._empty_memo[:]
-        at = -1
+        index = -1
         try:
-            when = self._conditions
-            for at in self.candidates(request, memo):
-                test = when[at]
+            conditions = self._conditions
+            for index in self.candidates(request, memo):
+                test = conditions[index]
                 if test is None or test(request, memo):
-                    out = self._outcomes[at]
+                    out = self._outcomes[index]
                     return out if isinstance(out, Verdict) else out(request, memo)
-            at = -1
+            index = -1
             out = self._default
             return out if isinstance(out, Verdict) else out(request, memo)
         except Exception as err:
-            name = self.rule_names[at] if at >= 0 else "default"
+            name = self.rule_names[index] if index >= 0 else "default"
             return self.record_failure(name, f"{type(err).__name__} {err}", request)
 
     def record_failure(self, rule: str, reason: str, request: Request) -> Verdict:
--- a/violetdoor/match/typed.py
+++ b/violetdoor/match/typed.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Typed:
+class TypedNode:
     """One node of the expression graph.
 
     `max_bytes` bounds a string, or each item of a list or map; `max_items` bounds the length of the latter;
@@ -23,7 +23,7 @@
 
     op: str
     type: t.Type
-    args: tuple[Typed, ...] = ()
+    args: tuple[TypedNode, ...] = ()
     value: Any = None
     max_bytes: int = 0
     max_items: int = 0
@@ -100,14 +100,14 @@
     """Creates nodes; equal nodes are one object, so that their code and their cost count once."""
 
     prices: dict[str, tuple[float, float]]
-    nodes: dict[Any, Typed] = field(default_factory=dict)
+    nodes: dict[Any, TypedNode] = field(default_factory=dict)
 
     def step_cost_ns(self, name: str, units: float = 0.0) -> float:
         """Return the worst-case cost of a step on this number of bytes or items, in ns."""
         base, per_unit = self.prices[name]
         return base + per_unit * units
 
-    def add(self, node: Typed) -> Typed:
+    def add(self, node: TypedNode) -> TypedNode:
         """Return the node, or an equal one that was added before."""
         key = (node.op, node.type, _identity_key(node.value), tuple(a.node_id for a in node.args))
         if (found := self.nodes.get(key)) is not None:
@@ -117,9 +117,9 @@
         self.nodes[key] = node
         return node
 
-    def constant(self, kind: t.Type, value: Any) -> Typed:
+    def constant(self, kind: t.Type, value: Any) -> TypedNode:
         """Return the node of a value known at load, with its bounds."""
-        node = Typed("const", kind, value=value, own_cost_ns=self.step_cost_ns("constant"))
+        node = TypedNode("const", kind, value=value, own_cost_ns=self.step_cost_ns("constant"))
         base = kind.base
         if value is None:
             node.low = node.high = 0
@@ -146,7 +146,7 @@
     return (type(value).__name__, repr(value) if isinstance(value, float) else value)
 
 
-def generate_code(node: Typed, args: list[str], value: str, new_name: Callable[[], str]) -> str:
+def generate_code(node: TypedNode, args: list[str], value: str, new_name: Callable[[], str]) -> str:
     """Return a node's code, given its operands' code; operands that may be missing are tested first."""
     match node.op:
         case "and" | "or":
@@ -174,7 +174,7 @@
     return f"({code} if {' and '.join(presence_checks)} else None)" if presence_checks else f"({code})"
 
 
-def fold_constant(node: Typed, value: Any) -> Any:
+def fold_constant(node: TypedNode, value: Any) -> Any:
     """Return the value of a node whose operands are all constants; raises what its code raises."""
     namespace: dict[str, Any] = {f"a{n}": arg.value for n, arg in enumerate(node.args)}
     namespace |= {"v": value} | ENVIRONMENT
--- a/violetdoor/match/values.py
+++ b/violetdoor/match/values.py
@@ -26,8 +26,10 @@
     flat = _flatten(data, schema)
     for name in flat:
         if name not in schema.fields:
-            near = difflib.get_close_matches(name, schema.fields, 1)
-            hint = f"did you mean {near[0]!r}?" if near else f"expected a field of {schema.front}"
+            close_names = difflib.get_close_matches(name, schema.fields, 1)
+            hint = (
+                f"did you mean {close_names[0]!r}?" if close_names else f"expected a field of {schema.front}"
+            )
             raise RequestError(f"unknown field {name!r}; {hint}")
     values = {
         n: _parse_field(n, flat[n], f) if n in flat else _empty_value(f.type)
@@ -69,14 +71,14 @@
 
 def _parse_value(kind: t.Type, value: Any, field: t.Field) -> Any:
     if kind.name == "list" and kind.item is not None:
-        inner = kind.item
-        items = [_parse_value(inner, v, field) for v in value] if isinstance(value, list) else [None]
+        item_type = kind.item
+        items = [_parse_value(item_type, v, field) for v in value] if isinstance(value, list) else [None]
         return None if None in items or len(items) > field.max_entries else tuple(items)
     if kind.name == "map" and kind.item is not None:
         if not isinstance(value, Mapping) or len(value) > field.max_entries:
             return None
-        inner = kind.item
-        parsed = {k: _parse_value(inner, v, field) for k, v in value.items()}
+        item_type = kind.item
+        parsed = {k: _parse_value(item_type, v, field) for k, v in value.items()}
         return None if None in parsed.values() or any(len(k) > field.max_bytes for k in parsed) else parsed
     if kind == t.STRING:
         return t.bounded_text(value, field.max_bytes)
