--- a/tests/interpreter.py
+++ b/tests/interpreter.py
@@ -1,4 +1,4 @@
-"""The match language carried out as a plain tree, one node after another: what the compiled rules must equal."""
+"""Tree interpreter of the rule language: the reference for the results of compiled rules."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Overflow(Exception):
-    """What compiled rules meet as OverflowError."""
+    """Raised where compiled rules raise OverflowError."""
 
 
 def check_range(n: Any) -> Any:
@@ -54,20 +54,20 @@
             case tree.Operation(op="if", args=(test, one, other)):
                 return self.evaluate(one if self.evaluate(test, names) else other, names)
             case tree.Operation(op="??", args=(one, other)):
-                held = self.evaluate(one, names)
-                return self.evaluate(other, names) if held is None else held
+                first = self.evaluate(one, names)
+                return self.evaluate(other, names) if first is None else first
             case tree.Operation(op=op, args=args):
                 return self.evaluate_operation(op, [self.evaluate(a, names) for a in args])
         raise TypeError(node)
 
-    def evaluate_operation(self, op: str, a: list[Any]) -> Any:
+    def evaluate_operation(self, op: str, args: list[Any]) -> Any:
         if op == "not":
-            return not a[0]
+            return not args[0]
         if op == "has":
-            return a[0] is not None
+            return args[0] is not None
         if op == "!=":
-            return not self.evaluate_operation("==", a)
-        if None in a:
+            return not self.evaluate_operation("==", args)
+        if None in args:
             tests = (
                 "==",
                 "<",
@@ -84,76 +84,84 @@
             return False if op in tests else None
         match op:
             case "==":
-                return a[0] == a[1]
+                return args[0] == args[1]
             case "<":
-                return a[0] < a[1]
+                return args[0] < args[1]
             case "<=":
-                return a[0] <= a[1]
+                return args[0] <= args[1]
             case ">":
-                return a[0] > a[1]
+                return args[0] > args[1]
             case ">=":
-                return a[0] >= a[1]
+                return args[0] >= args[1]
             case "in":
                 return (
-                    any(prefix_contains(p, a[0]) for p in a[1]) if isinstance(a[1], tuple) else a[0] in a[1]
+                    any(prefix_contains(p, args[0]) for p in args[1])
+                    if isinstance(args[1], tuple)
+                    else args[0] in args[1]
                 )
             case "matches":
-                return re.search(a[1], a[0]) is not None
+                return re.search(args[1], args[0]) is not None
             case "fits":
-                pattern = re.escape(a[1]).replace(r"\*", r"[^.]+")
-                return re.fullmatch(re.sub(r">$", r"[^.]+(\\.[^.]+)*", pattern), a[0], re.S) is not None
+                pattern = re.escape(args[1]).replace(r"\*", r"[^.]+")
+                return re.fullmatch(re.sub(r">$", r"[^.]+(\\.[^.]+)*", pattern), args[0], re.S) is not None
             case "starts_with":
-                return a[0][: len(a[1])] == a[1]
+                return args[0][: len(args[1])] == args[1]
             case "ends_with":
-                return a[1] == "" or a[0][-len(a[1]) :] == a[1]
+                return args[1] == "" or args[0][-len(args[1]) :] == args[1]
             case "contains":
-                return a[0].find(a[1]) >= 0
+                return args[0].find(args[1]) >= 0
             case "+":
-                return check_range(a[0] + a[1])
+                return check_range(args[0] + args[1])
             case "-":
-                return check_range(a[0] - a[1])
+                return check_range(args[0] - args[1])
             case "*":
-                return check_range(a[0] * a[1])
+                return check_range(args[0] * args[1])
             case "/":
-                if a[1] == 0:
+                if args[1] == 0:
                     return None
-                return check_range(a[0] / a[1] if isinstance(a[0] + a[1], float) else a[0] // a[1])
+                return check_range(
+                    args[0] / args[1] if isinstance(args[0] + args[1], float) else args[0] // args[1]
+                )
             case "%":
-                return a[0] % a[1] if a[1] else None
+                return args[0] % args[1] if args[1] else None
             case "negative":
-                return check_range(-a[0])
+                return check_range(-args[0])
             case "index":
-                if isinstance(a[0], dict):
-                    return a[0].get(a[1])
-                return a[0][a[1]] if 0 <= a[1] < len(a[0]) else None
+                if isinstance(args[0], dict):
+                    return args[0].get(args[1])
+                return args[0][args[1]] if 0 <= args[1] < len(args[0]) else None
             case "lower":
-                return a[0].lower()
+                return args[0].lower()
             case "split":
-                return a[0].split(a[1], a[2] - 1)
+                return args[0].split(args[1], args[2] - 1)
             case "token":
-                held = a[0].split(".", a[1] + 1)
-                return held[a[1]] if a[1] < len(held) else None
+                tokens = args[0].split(".", args[1] + 1)
+                return tokens[args[1]] if args[1] < len(tokens) else None
             case "len":
-                return len(a[0])
+                return len(args[0])
             case "hash":
-                raw = a[0].to_bytes(8, "little", signed=True) if isinstance(a[0], int) else a[0].encode()
-                return xxhash.xxh3_64_intdigest(raw) % a[1]
+                hashed_bytes = (
+                    args[0].to_bytes(8, "little", signed=True)
+                    if isinstance(args[0], int)
+                    else args[0].encode()
+                )
+                return xxhash.xxh3_64_intdigest(hashed_bytes) % args[1]
             case "int":
-                if not isinstance(a[0], str):
-                    return a[0]
-                found = re.fullmatch(r"[+-]?[0-9]{1,19}", a[0])
-                n = int(a[0]) if found else None
+                if not isinstance(args[0], str):
+                    return args[0]
+                found = re.fullmatch(r"[+-]?[0-9]{1,19}", args[0])
+                n = int(args[0]) if found else None
                 return n if n is not None and -(1 << 63) <= n < 1 << 63 else None
             case "float":
-                if not isinstance(a[0], str):
-                    return float(a[0])
-                return float(a[0]) if re.fullmatch(r"[+-]?[0-9]{1,19}(\.[0-9]{1,19})?", a[0]) else None
+                if not isinstance(args[0], str):
+                    return float(args[0])
+                return float(args[0]) if re.fullmatch(r"[+-]?[0-9]{1,19}(\.[0-9]{1,19})?", args[0]) else None
             case "address":
-                return pack_address(a[0])
+                return pack_address(args[0])
             case "text":
-                return format_address(a[0]) if isinstance(a[0], bytes) else str(a[0])
+                return format_address(args[0]) if isinstance(args[0], bytes) else str(args[0])
             case "min" | "max":
-                return (min if op == "min" else max)(a)
+                return (min if op == "min" else max)(args)
         raise TypeError(op)
 
 
--- a/tests/test_match.py
+++ b/tests/test_match.py
@@ -1,4 +1,4 @@
-"""The match language: what it says, what it refuses at load, that compiled rules equal the plain tree."""
+"""Rule language: results of expressions, faults at load, and compiled rules against a tree interpreter."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
     "d": t.Field(t.DURATION, low=0, high=10**12), "b": t.Field(t.BOOL), "ip": t.Field(t.ADDRESS),
     "m": t.Field(t.map_of(t.STRING), max_bytes=24, max_entries=4), "z": t.Field(t.SIZE, low=0, high=1 << 40),
 })  # fmt: skip
-TOP = 'set words = strings { "a", "ab", "b.c" };\nset nets = prefixes { "10.0.0.0/8", "10.1.0.0/16", "fd00::/8" };\n'
+SET_DEFINITIONS = 'set words = strings { "a", "ab", "b.c" };\nset nets = prefixes { "10.0.0.0/8", "10.1.0.0/16", "fd00::/8" };\n'
 
 
-def load(text: str, limit: float = 1e6, **values: Any) -> Loaded:
-    return Loader(SCHEMA, limit_us=limit, **values).load(text)
+def load(text: str, limit_us: float = 1e6, **values: Any) -> Loaded:
+    return Loader(SCHEMA, limit_us=limit_us, **values).load(text)
 
 
 def request(**values: Any) -> tuple[Any, ...]:
@@ -40,7 +40,9 @@
 
 
 def holds(condition: str, **values: Any) -> bool:
-    rules = load(f'{TOP}rule "it" when {condition} {{ class = "yes"; }}\ndefault {{ class = "no"; }}').build()
+    rules = load(
+        f'{SET_DEFINITIONS}rule "it" when {condition} {{ class = "yes"; }}\ndefault {{ class = "no"; }}'
+    ).build()
     return rules.decide(request(**values)).cls == "yes"
 
 
@@ -59,7 +61,7 @@
     ('(if n > 1 then "many" else "few") == "many"', {"n": 2}), ('hash("gate", 100) == 51 and n == 0', {}),
     ('text(ip) == "10.0.0.1"', {"ip": b"\x0a\0\0\1"}), ('len(split(s, ".", 64)) == 3', {"s": "a.b.c"}),
 ])  # fmt: skip
-def test_the_language_says_what_its_page_promises(condition: str, values: dict[str, Any]) -> None:
+def test_expressions_have_their_documented_results(condition: str, values: dict[str, Any]) -> None:
     assert holds(condition, **values)
 
 
@@ -106,13 +108,13 @@
     ('rule "r" when n == 1 { label a = "x"; pool = s + s + s; class = "booking" }', "found '}', expected"),
     ("rule \"r\" when (s + s + s + s) == \"\" and " + "(((s" * 3 + ")))" * 3, "expected"),
 ])  # fmt: skip
-def test_each_fault_is_told_with_its_place(text: str, expected: str) -> None:
+def test_each_fault_is_reported_with_its_position(text: str, expected: str) -> None:
     with pytest.raises(RulesError) as caught:
         load(f"{text}\ndefault {{}}", classes=("booking", "checkin"))
     assert expected in str(caught.value), str(caught.value)
 
 
-def test_all_faults_come_together_and_are_bounded() -> None:
+def test_all_faults_are_reported_together_up_to_a_limit() -> None:
     text = "".join(f'rule "r{n}" when who{n} {{ class = 1; }}\n' for n in range(200))
     with pytest.raises(RulesError) as caught:
         load(text)
@@ -142,17 +144,17 @@
 
 
 @pytest.mark.parametrize("name", HOSTILE)
-def test_text_made_to_hurt_is_refused_in_time(name: str) -> None:
-    began = time.monotonic()
+def test_hostile_source_is_rejected_in_bounded_time(name: str) -> None:
+    started_at = time.monotonic()
     with pytest.raises(RulesError) as caught:
-        load(HOSTILE[name], limit=250.0)
-    assert time.monotonic() - began < 20
+        load(HOSTILE[name], limit_us=250.0)
+    assert time.monotonic() - started_at < 20
     assert (len(str(caught.value)) < 20_000 and ":1:" in str(caught.value)) or caught.value.faults[
         0
     ].line >= 1
 
 
-def test_an_expression_that_kills_backtracking_engines_is_linear() -> None:
+def test_regular_expression_with_catastrophic_backtracking_takes_linear_time() -> None:
     rules = load('rule "r" when s matches "(x+x+)+y" { key = 1; }\ndefault {}').build()
     assert rules.decide(request(s="x" * 24)).rule == "default"
 
@@ -166,8 +168,8 @@
     assert rules.failure_count == 1
 
 
-def test_rules_are_looked_up_and_the_first_still_wins() -> None:
-    """Prefixes inside each other, several families, sets and rules that no look-up serves, all mixed."""
+def test_first_matching_rule_decides_where_rules_are_looked_up() -> None:
+    """Compares look-ups with the interpreter: nested prefixes, both address families, sets, ungrouped rules."""
     rng = random.Random(5)
     parts = []
     for n in range(300):
@@ -184,22 +186,22 @@
     rules = "".join(f'rule "r{n}" when {part} {{ key = {n}; }}\n' for n, part in enumerate(parts))
     loaded = load(nets + rules + "default {}")
     assert {g[0] for g in loaded.data["groups"]} == {"value", "prefix", "net"}
-    ready = loaded.build()
+    rule_set = loaded.build()
     faults = Faults("x", nets + rules + "default {}")
     source, _ = group_items(parse(faults.text, faults))
-    sets = {s.name: tuple(map(prefix_of, s.members)) for s in source.sets}
+    sets = {s.name: tuple(map(parse_member, s.members)) for s in source.sets}
     for _ in range(400):
         n = rng.randint(0, 300)
         values = {"s": rng.choice(["", "k5", "k10", f"k{n}", "ab" * 3 + str(n % 7), f"aab{n % 7}"]), "n": n,
                   "os": rng.choice([None, "a", "ab", f"q{n}"]), "small": rng.randint(-9, 9),
                   "ip": rng.choice([bytes([10, n % 4, n % 7, 1]), bytes([0xFD, 0, 0, n % 256]) + bytes(12)])}  # fmt: skip
         fields = dict(zip(SCHEMA.fields, request(**values), strict=True))
-        plain = Interpreter(fields, sets, {})
-        first = next((r.name for r in source.rules if r.when and plain.evaluate(r.when, {})), "default")
-        assert ready.decide(request(**values)).rule == first
+        interpreter = Interpreter(fields, sets, {})
+        first = next((r.name for r in source.rules if r.when and interpreter.evaluate(r.when, {})), "default")
+        assert rule_set.decide(request(**values)).rule == first
 
 
-def prefix_of(member: tuple[str, Any]) -> tuple[bytes, int]:
+def parse_member(member: tuple[str, Any]) -> tuple[bytes, int]:
     text, _, length = member[0].partition("/")
     address = t.pack_address(text)
     assert address is not None
@@ -207,27 +209,31 @@
 
 
 def test_a_hundred_thousand_prefixes_with_overlaps() -> None:
-    """The longest prefix and the first rule, against a search through all of them."""
+    """Compares look-ups in overlapping prefixes with a search through all prefixes."""
     rng = random.Random(7)
     nets = [
         ((rng.getrandbits(n) << (32 - n)).to_bytes(4, "big"), n)
         for n in (rng.randint(6, 30) for _ in range(100_000))
     ]
     files = {"a.txt": nets[:60_000], "b.txt": nets[40_000:]}
-    texts = {name: "".join(f"{t.format_address(a)}/{n}\n" for a, n in held) for name, held in files.items()}
+    texts = {
+        name: "".join(f"{t.format_address(a)}/{n}\n" for a, n in prefixes) for name, prefixes in files.items()
+    }
     rules = load('set one = prefixes from "a.txt";\nset two = prefixes from "b.txt";\n'
                  'rule "both" when ip in one and ip in two {}\nrule "a" when ip in one {}\ndefault {}',
                  read_file=texts.__getitem__).build()  # fmt: skip
-    held = {name: {n: {int.from_bytes(a, "big") >> (32 - n) for a, m in pairs if m == n} for n in range(6, 31)}
+    networks = {name: {n: {int.from_bytes(a, "big") >> (32 - n) for a, m in pairs if m == n} for n in range(6, 31)}
             for name, pairs in files.items()}  # fmt: skip
     for _ in range(2000):
         ip = rng.getrandbits(32)
-        there = [any(ip >> (32 - n) in tops for n, tops in held[name].items()) for name in files]
-        expected = "both" if all(there) else "a" if there[0] else "default"
+        contained = [
+            any(ip >> (32 - n) in numbers for n, numbers in networks[name].items()) for name in files
+        ]
+        expected = "both" if all(contained) else "a" if contained[0] else "default"
         assert rules.decide(request(ip=ip.to_bytes(4, "big"))).rule == expected
 
 
-# Compiled rules against the plain tree, for generated expressions and requests.
+# Compiled rules compared with the interpreter, for generated expressions and requests.
 
 TEXTS = ["", "a", "ab", "b.c", "a.b", "A-b-C", "10", "-3", "1.5", "10.1.2.3", "\u0130x", "\u00e9", "ab.ab.ab"]
 LITERALS = {
@@ -238,14 +244,14 @@
           "string?": ["os", 'm["a"]'], "address": ["ip"]}  # fmt: skip
 
 
-COMPARED = [
+COMPARISONS = [
     (f"({{}} {op} {{}})", k, k)
     for k in ("int", "string", "float", "duration")
     for op in ("==", "!=", "<", ">=")
 ]
 FORMS: dict[str, list[tuple[str, ...]]] = {
     "bool": [
-        ("({} and {})", "bool", "bool"), ("({} or {})", "bool", "bool"), ("(not {})", "bool"), *COMPARED,
+        ("({} and {})", "bool", "bool"), ("({} or {})", "bool", "bool"), ("(not {})", "bool"), *COMPARISONS,
         *((f"({{}} {op} {{}})", "string?", "string") for op in ("==", "!=", "<", "starts_with", "contains")),
         ("({} ends_with {})", "string", "string"), ("({} in words)", "string?"), ("({} in nets)", "address"),
         ('({} in ["a", "ab", "b"])', "string"), ('({} fits "a.>")', "string"), ("has({})", "string?"),
@@ -274,7 +280,7 @@
 
 @st.composite
 def expressions(draw: st.DrawFn, kind: str, depth: int) -> str:
-    """Source text of an expression of this type, sound but for ranges and constant divisors."""
+    """Source of an expression of this type; only ranges and constant divisors can be invalid."""
     if depth <= 0 or draw(st.integers(0, 5)) == 0:
         return draw(st.sampled_from([*LITERALS.get(kind, []), *FIELDS.get(kind, [])]))
     form, *kinds = draw(st.sampled_from(FORMS[kind]))
@@ -290,7 +296,7 @@
 
 
 class ProbingEmitter(Emitter):
-    """Compiles a call behind each part that tells its node and its value."""
+    """Wraps the code of each node in a call that reports the node's id and value."""
 
     nodes: dict[int, TypedNode] = {}  # noqa: RUF012
 
@@ -304,32 +310,32 @@
 
 @settings(max_examples=250, deadline=None)
 @given(expressions("bool", 4), expressions("string", 2), st.lists(REQUESTS, min_size=3, max_size=6))
-def test_compiled_rules_equal_the_plain_tree_within_their_bounds(
+def test_compiled_rules_equal_the_interpreter_and_keep_their_bounds(
     when: str, out: str, requests: list[dict[str, Any]]
 ) -> None:
-    """And what is computed on the way keeps the checker's bounds of size, range and cost."""
-    text = f'{TOP}rule "r" when {when} {{ tenant = {out}; }}\ndefault {{ tenant = "none"; }}'
+    """Checks also that each computed value and the total cost stay within the checker's bounds."""
+    text = f'{SET_DEFINITIONS}rule "r" when {when} {{ tenant = {out}; }}\ndefault {{ tenant = "none"; }}'
     try:
         loaded = load(text, emitter=ProbingEmitter)
     except RulesError as err:
         assert all("goes over the range" in f.expected or "never true" in f.expected or "divisor" in f.expected or "never missing" in f.expected
                    for f in err.faults), str(err)  # fmt: skip
         return
-    spent = 0.0
+    spent_ns = 0.0
 
     def probe(number: int, value: Any) -> Any:
-        nonlocal spent
+        nonlocal spent_ns
         node = ProbingEmitter.nodes[number]
-        spent += node.own_cost_ns
-        held = (
+        spent_ns += node.own_cost_ns
+        checked_values = (
             [value]
             if isinstance(value, (str, int, float))
             else value
             if isinstance(value, (list, tuple))
             else []
         )
-        assert len(held) <= max(1, node.max_items)
-        for v in held:
+        assert len(checked_values) <= max(1, node.max_items)
+        for v in checked_values:
             if isinstance(v, str):
                 assert len(v.encode()) <= node.max_bytes
             elif not isinstance(v, bool):
@@ -341,22 +347,24 @@
         rules = loaded.build()
         faults = Faults("x", text)
         source, _ = group_items(parse(text, faults))
-        sets = {"words": {"a", "ab", "b.c"}, "nets": tuple(map(prefix_of, source.sets[1].members))}
+        sets = {"words": {"a", "ab", "b.c"}, "nets": tuple(map(parse_member, source.sets[1].members))}
         for values in requests:
-            plain = Interpreter(dict(values), sets, {})
+            interpreter = Interpreter(dict(values), sets, {})
             rule = source.rules[0]
             assert rule.when is not None
-            failed, spent = rules.failure_count, 0.0
+            failures_before, spent_ns = rules.failure_count, 0.0
             found = rules.decide(request(**values))
             try:
                 tenant = (
-                    plain.evaluate(rule.outputs[0].value, {}) if plain.evaluate(rule.when, {}) else "none"
+                    interpreter.evaluate(rule.outputs[0].value, {})
+                    if interpreter.evaluate(rule.when, {})
+                    else "none"
                 )
             except Overflow:
-                continue  # the order of terms is the compiler's, so it may answer before it meets the overflow
-            if rules.failure_count == failed:
+                continue  # the compiler orders the terms: its rule may answer before the overflow
+            if rules.failure_count == failures_before:
                 assert found.tenant == tenant
-            assert spent <= loaded.data["cost"]
+            assert spent_ns <= loaded.data["cost"]
 
 
 @settings(max_examples=150, deadline=None)
@@ -366,7 +374,7 @@
                               "[", "]", "(", ")", "1", "??", "set w = strings", "if", "then", "else", "class ="]),
              max_size=30).map(" ".join),
 ))  # fmt: skip
-def test_any_text_gives_a_tree_or_clear_faults(text: str) -> None:
+def test_any_text_loads_or_gives_faults_with_positions(text: str) -> None:
     for source in (text, f'rule "r" when {text} {{}}\ndefault {{}}'):
         faults = Faults("f", source)
         parse_expression(source, faults)
@@ -377,7 +385,7 @@
 
 
 def test_ten_thousand_rules_cost_little_more_than_ten() -> None:
-    """By the price table, which no load of the machine changes."""
+    """Compares costs by the price table, so that load on the machine has no influence."""
 
     def cost(rules: int) -> float:
         text = "".join(f'rule "r{n}" when s == "u{n}" {{ tenant = "t{n % 50}"; }}\n' for n in range(rules))
