--- a/violetdoor/match/check.py
+++ b/violetdoor/match/check.py
@@ -30,10 +30,10 @@
     Type,
 )
 
-MAX_SPLIT_PARTS = 64  # that one split may return
+MAX_SPLIT_PARTS = 64  # largest `parts` operand of split()
 MAX_LITERAL_ITEMS = 1024  # of a list or map literal
 MAX_PATTERN_INSTRUCTIONS = 2000  # of a compiled regular expression
-FUNCTIONS = {  # signature and number of operands
+FUNCTIONS = {  # by name: signature, as faults show it, and number of operands
     "lower": ("lower(string)", 1), "split": ("split(string, by, parts)", 3), "has": ("has(optional)", 1),
     "len": ("len(string, list or map)", 1), "int": ("int(string, duration or size)", 1),
     "hash": ("hash(string, whole number or address, buckets)", 2), "float": ("float(string or int)", 1),
@@ -59,7 +59,7 @@
         self.schema, self.faults, self.graph = schema, faults, graph
         self.sets = Sets()
         self.defines: dict[str, TypedNode] = {}
-        self.offset = 0  # of the item being checked, in its file
+        self.offset = 0  # of the item being checked, in characters from the start of its file
         self.error_node = TypedNode("faulty", ERROR_TYPE)
 
     # Helpers.
@@ -70,9 +70,13 @@
         return self.error_node
 
     def add_node(
-        self, node: TypedNode, span: Span, units: float = 0.0, price: str = "", value: Any = None
+        self, node: TypedNode, span: Span, units: float = 0.0, price_name: str = "", value: Any = None
     ) -> TypedNode:
-        """Add a node to the graph: as a constant if all operands are constants, else with its cost."""
+        """Add a node to the graph: as a constant if all operands are constants, else with its cost.
+
+        `units` is the number of bytes or items that the cost depends on; `value` is the object that evaluates
+        a constant, where it is not the node's own value.
+        """
         op = OPERATORS.get(node.op)
         if op is not None and not op.is_test and any(a.type.is_optional for a in node.args):
             node.type = t.optional(node.type)
@@ -83,7 +87,7 @@
                 )
             except (OverflowError, ZeroDivisionError):
                 return self.report(span, f"goes over the range of {node.type.base}")
-        node.own_cost_ns = self.graph.step_cost_ns(price or (op.price_name if op else "glue"), units)
+        node.own_cost_ns = self.graph.step_cost_ns(price_name or (op.price_name if op else "glue"), units)
         node.own_cost_ns += sum(a.type.is_optional for a in node.args) * self.graph.step_cost_ns("glue")
         result = self.graph.add(node)
         if result.depth > MAX_DEPTH:
--- a/violetdoor/match/emit.py
+++ b/violetdoor/match/emit.py
@@ -13,7 +13,10 @@
 
 
 class Emitter:
-    """Collects generated functions and the tables that they read."""
+    """Collects generated functions and the tables that they read.
+
+    Each function takes a request `r` and the memo `m` of shared values.
+    """
 
     def __init__(self, shared: dict[int, TypedNode]) -> None:
         self.memo_slots = {node_id: slot for slot, node_id in enumerate(shared)}
--- a/violetdoor/match/grammar.py
+++ b/violetdoor/match/grammar.py
@@ -390,7 +390,7 @@
 
 
 def parse(text: str, faults: Faults) -> list[tuple[int, Any]]:
-    """Return the items of a rules file with their offsets; faults of others are recorded."""
+    """Return the items of a rules file with their offsets; items with a fault are omitted and reported."""
     if len(text) > MAX_SOURCE_CHARS:
         faults.add(
             Span(MAX_SOURCE_CHARS, MAX_SOURCE_CHARS + 1),
--- a/violetdoor/match/load.py
+++ b/violetdoor/match/load.py
@@ -22,7 +22,7 @@
 MAX_SET_MEMBERS = 1_000_000  # of all named sets of one source together
 MAX_OUTPUT_BYTES = 512  # of one output's value
 MAX_LABELS = 16
-DEFAULT_LIMIT_US = 250.0  # worst-case cost of a request, unless the settings set another limit
+DEFAULT_LIMIT_US = 250.0  # limit on the worst-case cost of a request, unless the settings have another
 VERDICT_OUTPUTS = ("class", "tenant", "group", "key", "pool", "refuse")
 OUTPUT_TYPES = {"group": INT, "key": INT}
 
@@ -68,7 +68,7 @@
     """Loads one rules source."""
 
     schema: Schema
-    classes: Collection[str] | None = None  # that outputs may name; None allows any
+    classes: Collection[str] | None = None  # classes that outputs may name; None allows any
     limit_us: float = DEFAULT_LIMIT_US
     read_file: ReadFile = reject_file
     file: str = "rules"
--- a/violetdoor/match/runtime.py
+++ b/violetdoor/match/runtime.py
@@ -116,7 +116,7 @@
         self.ipv4, self.ipv6 = PyTricia(32), PyTricia(128)
 
     def fill(self, members: Iterable[tuple[bytes, int, Any]]) -> Iterator[None]:
-        """Insert prefixes given as packed address, length and value; yields after every INSTALL_CHUNK."""
+        """Insert prefixes given as packed address, length and value; yields after INSTALL_CHUNK of them."""
         for n, (address, length, value) in enumerate(members, 1):
             (self.ipv4 if len(address) == 4 else self.ipv6).insert(address, length, value)
             if n % INSTALL_CHUNK == 0:
@@ -127,6 +127,7 @@
         return (self.ipv4 if len(address) == 4 else self.ipv6).get(address)
 
 
+# Globals of generated code, by the names that typed.OPERATORS and Emitter use.
 ENVIRONMENT: dict[str, Any] = {
     "U": UNSET, "ck": check_int64, "cf": check_finite, "div": floor_divide, "mod": modulo,
     "fdiv": float_divide, "split": split, "nth": item_at, "fits": matches_subject, "to_int": to_int,
@@ -197,6 +198,7 @@
         Guards against a large set blocking the event loop while it is swapped in.
         """
         data, namespace = self._data, dict(ENVIRONMENT)
+        # Verdict type, patterns, string sets, constants and prefix sets, by the names that Emitter uses.
         namespace["V"] = Verdict
         namespace["P"] = [compile_pattern(pattern) for pattern in data["patterns"]]
         namespace["S"] = data["texts"]
