--- a/violetdoor/net/acceptor.py
+++ b/violetdoor/net/acceptor.py
@@ -15,18 +15,19 @@
 
 log = logging.getLogger("violetdoor.accept")
 
-ACCEPT_RETRY_DELAY_SECONDS = 0.05  # until the next attempt when no descriptor was free
-MIN_CLIENT_WAIT_SECONDS = 0.25  # that a client may wait in any case while there are descriptors
-WAITING_CLIENTS_DIVISOR = 3  # clients not admitted yet hold at most one in so many descriptors
-RESERVED_DESCRIPTORS = 64  # for discovery, health checks, the log, the console and rejections
-MIN_CAPACITY = 2  # descriptors: a client's and its server's
+ACCEPT_RETRY_DELAY_SECONDS = 0.05  # wait after a failed accept, for example without a free descriptor
+MIN_CLIENT_WAIT_SECONDS = 0.25  # no eviction before this unless descriptors run out
+WAITING_CLIENTS_DIVISOR = 3  # waiting clients may use the capacity divided by this
+# Not available to clients: for discovery, health checks, the log, the console and rejections.
+RESERVED_DESCRIPTORS = 64
+MIN_CAPACITY = 2  # descriptors: one for a client and one for its server
 
 
 class Acceptor:
-    """The listening socket of a front; each connection is served by a task of its own.
+    """Accepts connections on a front's listening socket and serves each one in its own task.
 
-    A client waits until its front admits it, that is for its first words. Clients that stay silent hold a
-    bounded part of the descriptors; the one that waits longest is evicted when another needs its place.
+    A client waits until its front has read its first request and admits it. Waiting clients may use a
+    limited number of descriptors; the longest-waiting one is evicted when another client needs a descriptor.
     """
 
     def __init__(
@@ -37,10 +38,10 @@
         max_descriptors: int,
         overload_answer: bytes,
     ) -> None:
-        """Accept from a listening socket that does not block.
+        """Accept from a non-blocking listening socket once `run` is called.
 
-        `serve_client` returns whether the client's connection is to end by a reset; `overload_answer` is the
-        last line of evicted clients, and of those in the socket's queue when it closes.
+        `serve_client` returns whether to end the client's connection with a reset. `overload_answer` is sent
+        to evicted clients and to those still in the listen queue when the socket closes.
         """
         self.sock = sock
         self.serve_client = serve_client
@@ -49,18 +50,19 @@
         self.capacity = max(MIN_CAPACITY, min(max_descriptors, descriptor_limit()) - RESERVED_DESCRIPTORS)
         self.address: Address = sock.getsockname()[:2]
         self.tasks: set[asyncio.Task[None]] = set()
-        # Since when each client has waited that is not admitted, or is about to end, longest first.
+        # Start of the wait (s, loop clock) of each client not admitted or lingering, longest wait first.
         self.waiting_since: dict[asyncio.Task[None], float] = {}
         self.admitted: set[asyncio.Task[None]] = set()
         self.evicted: set[asyncio.Task[None]] = set()
-        self.lingering: set[asyncio.Task[None]] = set()  # sent all, and give their client time to read it
-        self.is_closing = False  # a session that is cancelled from now on sends a last word
+        self.lingering: set[asyncio.Task[None]] = set()  # everything is sent; the client has time to read it
+        self.is_closing = False  # once True, a cancelled session sends its client a final answer
         self.is_accepting = False
         self.accepting_enabled = asyncio.Event()  # cleared while another process accepts this relay's clients
         self.accepting_enabled.set()
-        self.sibling_descriptors = 0  # that another process of this relay holds
-        self.sibling_memory_bytes = 0  # bytes that it holds
-        # The answer to a client that is rejected unread, by its address; None for one that is not.
+        # Resources that the other process of this relay uses during an upgrade.
+        self.sibling_descriptors = 0
+        self.sibling_memory_bytes = 0
+        # Returns the answer that rejects a client (by address) before it is read, or None to accept it.
         self.rejection_for: Callable[[str], bytes | None] | None = None
         self._closing_sockets = ClosingSockets()
         self._runner: asyncio.Task[None] | None = None
@@ -73,10 +75,10 @@
             try:
                 sock = await self._accept_next()
             except OSError as err:
-                # EMFILE, ENFILE, ENOBUFS, or a client already gone: a relay must not stop listening for good
-                # because descriptors were short for a moment.
+                # EMFILE, ENFILE, ENOBUFS, or the client has already disconnected: a temporary shortage of
+                # descriptors must not end the accept loop.
                 self.counters["accept_failed"] += 1
-                log.warning("accept failed: %s", err)
+                log.warning("accept failed, retrying after a delay: %s", err)
                 self.is_accepting = False
                 await asyncio.sleep(ACCEPT_RETRY_DELAY_SECONDS)
                 continue
@@ -84,13 +86,13 @@
             self.counters["accepted"] += 1
             if self.rejection_for is None or not self._reject(sock, self.rejection_for):
                 self._start_serving(sock)
-            # A full backlog comes without a pause: each client's first words are read before the next one is
-            # accepted, or those that are about to speak would be evicted with those that never do. And a
-            # flood of rejected clients must not hold the loop.
+            # Yield after each accept, so that a client's first request is read before the next client is
+            # accepted. Otherwise a full backlog would evict clients whose request has already arrived, and a
+            # flood of rejected clients would block the event loop.
             await asyncio.sleep(0)
 
     async def _accept_next(self) -> socket.socket:
-        """Accept the next client, in one step once it waits: a cancelled wait loses nobody."""
+        """Wait for a client and accept it; cancelling the wait loses no accepted client."""
         while True:
             await self.accepting_enabled.wait()
             try:
@@ -103,7 +105,7 @@
         task = loop.create_task(self._serve_connection(sock))
         self.tasks.add(task)
         self.waiting_since[task] = loop.time()
-        task.add_done_callback(self._forget)
+        task.add_done_callback(self._remove_task)
         while self.descriptors_in_use() > self.capacity:
             if not self.evict_longest_waiting(except_for=task):
                 break
@@ -111,7 +113,7 @@
             self.evict_longest_waiting(except_for=task, min_wait_seconds=MIN_CLIENT_WAIT_SECONDS)
 
     def _reject(self, sock: socket.socket, rejection_for: Callable[[str], bytes | None]) -> bool:
-        """Reject a client before a byte of it is read, if it is to be; return whether it was."""
+        """Reject a client unread if `rejection_for` returns an answer; return whether it was rejected."""
         try:
             host, port = sock.getpeername()[:2]
             answer = rejection_for(f"{host}:{port}")
@@ -125,7 +127,7 @@
         return True
 
     def set_accepting(self, *, enabled: bool) -> None:
-        """Accept clients, or leave those that wait in the queue to the process that shares it."""
+        """Accept clients, or leave those in the listen queue to the other process that shares the socket."""
         self.is_accepting = enabled
         if enabled:
             self.accepting_enabled.set()
@@ -133,11 +135,11 @@
             self.accepting_enabled.clear()
 
     def descriptors_in_use(self) -> int:
-        """Return how many descriptors the clients may need: an admitted one also needs one for its server."""
+        """Return how many descriptors clients may need: one each, two once admitted (client and server)."""
         return self.sibling_descriptors + len(self.tasks) - len(self.evicted) + len(self.admitted)
 
     def admit(self) -> bool:
-        """Admit the running task's client, which said what it wants; return whether there is capacity."""
+        """Admit the client of the current task once its request is known; return False without capacity."""
         task = asyncio.current_task()
         assert task is not None
         while self.descriptors_in_use() >= self.capacity:
@@ -150,7 +152,7 @@
         return True
 
     def evict_longest_waiting(self, except_for: asyncio.Task[None], min_wait_seconds: float = 0.0) -> bool:
-        """Evict the client that waits longest, if it has waited for so long; return whether one was."""
+        """Evict the longest-waiting client if it has waited for the minimum; return whether one was."""
         now = asyncio.get_running_loop().time()
         task = next((waiting for waiting in self.waiting_since if waiting is not except_for), None)
         if task is None or now - self.waiting_since[task] < min_wait_seconds:
@@ -161,7 +163,7 @@
         task.cancel()
         return True
 
-    def _forget(self, task: asyncio.Task[None]) -> None:
+    def _remove_task(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         self.waiting_since.pop(task, None)
         self.admitted.discard(task)
@@ -169,7 +171,7 @@
         self.lingering.discard(task)
 
     async def _serve_connection(self, sock: socket.socket) -> None:
-        """Serve one client, whatever happens to it: its fault stays its own."""
+        """Serve one client; an exception in its session affects no other client."""
         reset = False
         owns_socket = True
         task = asyncio.current_task()
@@ -187,24 +189,24 @@
             elif task in self.evicted:
                 owns_socket = False
                 self._closing_sockets.add(sock, self.overload_answer)
-            elif self.is_closing:  # its session has sent a last word
+            elif self.is_closing:  # the session has sent its final answer
                 task.uncancel()
                 await self._linger(sock, task)
             else:
                 raise
         except OSError as err:
             self.counters["client_broke"] += 1
-            log.info("a client's connection broke: %s %s", type(err).__name__, err)
+            log.info("connection to a client failed: %s: %s", type(err).__name__, err)
         except Exception:
             self.counters["faults"] += 1
-            log.exception("a session failed")
+            log.exception("client session failed with an unexpected error; closing its connection")
             await self._linger(sock, task)
         finally:
             if owns_socket:
                 close_socket(sock, reset=reset)
 
     async def _linger(self, sock: socket.socket, task: asyncio.Task[None]) -> None:
-        """Let a client read its last line: it holds one descriptor now, and is evicted first."""
+        """Give a client time to read its last line; it now counts as one descriptor and may be evicted."""
         self.lingering.add(task)
         if task in self.tasks and task not in self.evicted:
             self.admitted.discard(task)
@@ -212,17 +214,17 @@
         await linger(sock)
 
     async def close(self) -> None:
-        """Stop listening, and end what is still served within LINGER_TIMEOUT_SECONDS.
+        """Stop listening and end all sessions within LINGER_TIMEOUT_SECONDS.
 
-        Each client gets a last word: its session's, or in the socket's queue the overload answer. Guards
-        against a request sent in this moment, whose client would only see a reset.
+        Each client gets a final answer: from its session, or the overload answer if it is still in the listen
+        queue. Without one, a client whose request arrives at this moment would only see a reset.
         """
         self.is_accepting = False
         self.is_closing = True
-        if self._runner is not None:  # it must not accept a client after this
+        if self._runner is not None:  # no client may be accepted after this
             self._runner.cancel()
             await asyncio.gather(self._runner, return_exceptions=True)
-        if self.accepting_enabled.is_set():  # else the queue is another process's
+        if self.accepting_enabled.is_set():  # otherwise the queue belongs to another process
             self._reject_queued()
         self.sock.close()
         for task in self.tasks - self.lingering:
@@ -237,7 +239,7 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def _reject_queued(self) -> None:
-        """Give each client in the socket's queue the overload answer."""
+        """Send the overload answer to each client in the listen queue."""
         while True:
             try:
                 sock = self.sock.accept()[0]
--- a/violetdoor/net/linger.py
+++ b/violetdoor/net/linger.py
@@ -1,7 +1,7 @@
-"""Orderly ends of clients' connections: each has a bounded time to read its last line.
+"""Graceful close of client connections: each client has a bounded time to read its last line.
 
-A close over unread bytes, or just before the client sends more, resets the connection, and the client may
-lose the last line that was sent to it.
+Closing a socket with unread bytes, or just before the client sends more, resets the connection, and the
+client may lose the last line that was sent to it.
 """
 
 from __future__ import annotations
@@ -15,38 +15,39 @@
 from violetdoor.net.sockets import close_socket
 
 LINGER_TIMEOUT_SECONDS = 0.3  # for a client to read its last line
-MAX_LINGER_BYTES = 1 << 17  # read and discarded meanwhile
-READ_BYTES = 16 * 1024  # of one read
+MAX_LINGER_BYTES = 1 << 17  # read and discarded while lingering; at this bound the connection closes
+READ_CHUNK_BYTES = 16 * 1024
 MAX_CLOSING_SOCKETS = 32
 
 
 async def linger(sock: socket.socket) -> None:
-    """End the sending side and wait a little for the client's end, discarding what it still sends."""
+    """Shut down the sending side and wait for the client to close, discarding what it still sends."""
     loop = asyncio.get_running_loop()
-    bytes_left = MAX_LINGER_BYTES
+    remaining_bytes = MAX_LINGER_BYTES
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_WR)
         async with asyncio.timeout(LINGER_TIMEOUT_SECONDS):
-            while bytes_left > 0:
-                received = await loop.sock_recv(sock, READ_BYTES)
+            while remaining_bytes > 0:
+                received = await loop.sock_recv(sock, READ_CHUNK_BYTES)
                 if not received:
                     return
-                bytes_left -= len(received)
+                remaining_bytes -= len(received)
 
 
 class ClosingSockets:
-    """Sockets of clients that got their last line and no task; each is closed a little later."""
+    """Sockets whose last line is sent and that no task serves; each is closed after a delay."""
 
     def __init__(self) -> None:
-        """Begin with none."""
-        self._sockets: deque[tuple[float, socket.socket]] = deque()  # since when, oldest first
+        """Start with no sockets."""
+        # Time of the last line (monotonic clock, s) and socket, oldest first.
+        self._sockets: deque[tuple[float, socket.socket]] = deque()
 
     def __len__(self) -> int:
-        """Return how many are not closed yet."""
+        """Return how many sockets are still open."""
         return len(self._sockets)
 
     def add(self, sock: socket.socket, last_line: bytes) -> None:
-        """Send the last line and end the sending side; what the client sends until the close is discarded."""
+        """Send the last line and shut down the sending side; close the socket after the linger timeout."""
         try:
             sock.setblocking(False)
             sock.send(last_line)
@@ -59,7 +60,7 @@
         self._close_due()
 
     def _close_due(self) -> None:
-        """Close those whose time is over, and the oldest beyond MAX_CLOSING_SOCKETS."""
+        """Close sockets whose linger time is over, and the oldest ones beyond MAX_CLOSING_SOCKETS."""
         now = time.monotonic()
         while self._sockets:
             closing_since, sock = self._sockets[0]
@@ -70,7 +71,7 @@
             close_socket(sock)
 
     def close_all(self) -> None:
-        """Close all at once."""
+        """Close all remaining sockets immediately."""
         while self._sockets:
             _, sock = self._sockets.popleft()
             close_socket(sock)
