--- a/violetdoor/net/addresses.py
+++ b/violetdoor/net/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses in the form of host:port."""
+"""Network addresses of the form `host:port`."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class AddressError(ValueError):
-    """A text is not an address."""
+    """A text is not a valid `host:port` address."""
 
     def __init__(self, text: str) -> None:
-        """Keep the text."""
+        """Record the invalid text."""
         super().__init__(f"{text!r} is not host:port")
         self.text = text
 
 
 def parse_address(text: str) -> Address:
-    """Split host:port; the host may be an IPv6 address in brackets. Raises AddressError."""
+    """Split `host:port`; the host may be an IPv6 address in brackets. Raises AddressError."""
     host, colon, port = text.rpartition(":")
     if not colon or not port.isdigit() or int(port) > MAX_PORT:
         raise AddressError(text)
--- a/violetdoor/net/descriptors.py
+++ b/violetdoor/net/descriptors.py
@@ -1,4 +1,4 @@
-"""File descriptors of this process: the system's limit, and one held back for the call to discovery."""
+"""File descriptors of this process: the system limit, and a spare one reserved for calls to discovery."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 
 def descriptor_limit() -> int:
-    """Return how many descriptors the system allows this process; the settings may allow more."""
+    """Return the system's descriptor limit for this process, which may be below the configured one."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return sys.maxsize if soft == resource.RLIM_INFINITY else soft
 
 
 class SpareDescriptor:
-    """One descriptor held back for a connection that is needed even when all others are taken."""
+    """A reserved descriptor for a connection that must succeed even when all others are in use."""
 
     def __init__(self) -> None:
-        """Acquire it, if the system has one left."""
+        """Acquire a descriptor if the system has a free one."""
         self._descriptor: int | None = None
         self._acquire()
 
     def _acquire(self) -> None:
-        with contextlib.suppress(OSError):  # none is free: the next use tries again
+        with contextlib.suppress(OSError):  # none is free: `released` retries afterwards
             self._descriptor = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
 
     @contextlib.contextmanager
     def released(self) -> Iterator[None]:
-        """Release it for the block: what is opened first in there gets its place, and is closed in there."""
+        """Release it within the block, which must close the one descriptor that it opens instead."""
         self.close()
         try:
             yield
@@ -38,7 +38,7 @@
                 self._acquire()
 
     def close(self) -> None:
-        """Release it for good."""
+        """Release it permanently."""
         if self._descriptor is not None:
             os.close(self._descriptor)
             self._descriptor = None
--- a/violetdoor/net/line_socket.py
+++ b/violetdoor/net/line_socket.py
@@ -1,4 +1,4 @@
-"""A socket that is read line by line."""
+"""Line-based reads from a socket."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from violetdoor.net.sockets import close_socket
 
-MAX_LINE_BYTES = 4096  # its CRLF included
+MAX_LINE_BYTES = 4096  # including CRLF
 
 
 class LineTooLongError(Exception):
@@ -15,20 +15,20 @@
 
 
 class LineSocket:
-    """A socket with the one buffer that its lines are read into and parsed in."""
+    """A socket and a fixed buffer in which its lines are received and parsed."""
 
     __slots__ = ("buffer", "sock", "used", "view", "was_reset")
 
     def __init__(self, sock: socket.socket) -> None:
-        """Read from a socket that does not block."""
+        """Read from a non-blocking socket."""
         self.sock = sock
         self.buffer = bytearray(MAX_LINE_BYTES)
         self.view = memoryview(self.buffer)
-        self.used = 0  # bytes at the start of the buffer that are not consumed yet
-        self.was_reset = False  # the other side ended the connection by a reset
+        self.used = 0  # bytes at the start of the buffer that are received but not consumed
+        self.was_reset = False  # the peer reset the connection
 
     async def fill(self) -> bool:
-        """Read more; False once the other side has closed the connection or reset it.
+        """Receive more bytes; return False once the peer has closed or reset the connection.
 
         Raises LineTooLongError if the buffer is full.
         """
@@ -45,7 +45,7 @@
         return count > 0
 
     async def read_line(self) -> int:
-        """Read until the buffer starts with a complete line; return its length, or 0 at the end.
+        """Read until the buffer starts with a complete line; return its length, or 0 at end of stream.
 
         Raises LineTooLongError.
         """
@@ -57,16 +57,16 @@
                 return 0
 
     def complete_length(self) -> int:
-        """Return the length of all complete lines in the buffer."""
+        """Return the total length in bytes of the complete lines in the buffer."""
         return self.buffer.rfind(b"\n", 0, self.used) + 1
 
     def consume(self, length: int) -> None:
-        """Drop so many bytes from the start and retain the rest."""
+        """Remove `length` bytes from the start of the buffer."""
         rest = self.used - length
         if rest:
             self.buffer[:rest] = self.buffer[length : self.used]
         self.used = rest
 
     def close(self, *, reset: bool = False) -> None:
-        """Close the connection; no read or write may be pending."""
+        """Close the connection, during which no read or write may be pending."""
         close_socket(self.sock, reset=reset)
--- a/violetdoor/net/outbox.py
+++ b/violetdoor/net/outbox.py
@@ -1,4 +1,4 @@
-"""Frames on their way out of one socket: queued at once, written in gathered writes, bounded."""
+"""Bounded queue of outgoing frames for one socket, sent with gathered writes."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
 
 
 class SlowReaderError(OSError):
-    """The other side reads nothing for too long."""
+    """The peer has read nothing for longer than the stall timeout."""
 
     def __init__(self) -> None:
-        """Say that in the log's words."""
-        super().__init__("the other side reads nothing")
+        """Set the message."""
+        super().__init__("peer reads nothing: stall timeout expired with a full send queue")
 
 
 class Outbox:
-    """A queue of complete frames before one socket, and the task that writes them.
+    """A queue of complete frames for one socket, and the task that writes them.
 
-    `enqueue` never waits; who enqueues much awaits `wait_for_capacity`.
+    `enqueue` never waits; callers that enqueue many frames await `wait_for_capacity`.
     """
 
     def __init__(self, sock: socket.socket, max_bytes: int, stall_timeout_seconds: float) -> None:
-        """Write to a socket that does not block; the reader may stall for so long at `max_bytes` queued."""
+        """Write to a non-blocking socket whose reader may stall for the timeout once the queue is full."""
         self.sock = sock
         self.max_bytes = max_bytes
         self.stall_timeout_seconds = stall_timeout_seconds
         self.queued_bytes = 0
         self.is_closed = False
-        self.error: OSError | None = None  # that ended the writing
+        self.error: OSError | None = None  # the error that stopped the writer task
         self._frames: deque[memoryview] = deque()
-        self._is_partly_written = False  # the first frame is
+        self._is_partly_written = False  # whether part of the first frame is sent
         self._has_frames = asyncio.Event()
-        self._progressed = asyncio.Event()  # something was written, or the writing ended
+        self._progressed = asyncio.Event()  # set when bytes were written or the writer task stopped
         self._task = asyncio.get_running_loop().create_task(self._write())
 
     def enqueue(self, frame: bytes) -> None:
-        """Add a frame; dropped once the outbox is closed or the socket has failed."""
+        """Add a frame; it is dropped once the outbox is closed or the socket has failed."""
         if self.is_closed or self.error:
             return
         self._frames.append(memoryview(frame))
@@ -48,11 +48,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether as much is queued as may be."""
+        """Whether the queue has reached its limit in bytes."""
         return self.queued_bytes >= self.max_bytes
 
     async def wait_for_capacity(self) -> None:
-        """Wait until less than the limit is queued. Raises SlowReaderError if the other side stalls."""
+        """Wait until the queue is below its limit. Raises SlowReaderError if the peer stalls."""
         while self.is_full and not self.is_closed and not self.error:
             self._progressed.clear()
             before = self.queued_bytes
@@ -64,13 +64,13 @@
                     raise SlowReaderError from err
 
     def discard_queued(self) -> None:
-        """Discard all frames but one that is partly written: what follows must start a frame."""
+        """Discard all frames except a partly written one, which must be completed before the next frame."""
         retained = [self._frames[0]] if self._is_partly_written else []
         self._frames = deque(retained)
         self.queued_bytes = sum(len(frame) for frame in retained)
 
     async def flush_and_close(self, timeout_seconds: float) -> None:
-        """Write what is queued as far as the time allows, then stop."""
+        """Write the queued frames within the timeout, then stop."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_seconds):
                 while self._frames and not self.error:
@@ -79,7 +79,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """Stop writing; the socket may be closed after this."""
+        """Stop writing; afterwards the socket may be closed."""
         self.is_closed = True
         self._progressed.set()
         self._task.cancel()
@@ -99,7 +99,7 @@
                     continue
                 self._remove_sent(sent)
                 if self._frames:
-                    await asyncio.sleep(0)  # one client's flood must not hold the loop
+                    await asyncio.sleep(0)  # a flood to one client must not block the event loop
         except OSError as err:
             self.error = err
             self._progressed.set()
--- a/violetdoor/net/process.py
+++ b/violetdoor/net/process.py
@@ -1,4 +1,4 @@
-"""What the system says of this process."""
+"""Resource use of this process, as the system reports it."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 def resident_memory_bytes() -> int:
-    """Return the resident memory of this process in bytes: proc(5), statm."""
+    """Return the resident memory of this process in bytes, read from /proc/self/statm (see proc(5))."""
     with open("/proc/self/statm", "rb", buffering=0) as file:
         return int(file.read().split()[1]) * PAGE_BYTES
--- a/violetdoor/net/sockets.py
+++ b/violetdoor/net/sockets.py
@@ -1,4 +1,4 @@
-"""Socket helpers on asyncio's socket calls: listen, connect, wait, gathered writes, close."""
+"""Socket helpers for asyncio: listen, connect, wait, gathered writes and close."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 
 from violetdoor.net.addresses import Address
 
-LISTEN_BACKLOG = 1024  # connections that wait to be accepted
-# Between two checks for a client's end behind unread bytes: no attempt may start 0.1 s after that end.
+LISTEN_BACKLOG = 1024  # connections in the listen queue
+# Between two checks whether a client with unread bytes has disconnected: no attempt may start later than
+# 0.1 s after the disconnection.
 DISCONNECT_POLL_INTERVAL_SECONDS = 0.05
 PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-DISCARD_CHUNK_BYTES = 16 * 1024  # of unread bytes that one read discards at a close
-MAX_DISCARDED_BYTES = 64 * 1024  # in all
+DISCARD_CHUNK_BYTES = 16 * 1024  # unread bytes that one read discards before a close
+MAX_DISCARDED_BYTES = 64 * 1024  # total for one close
 MAX_REASON_LENGTH = 120  # characters
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, with no time: see socket(7)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on with a timeout of 0: see socket(7)
 
 BytesLike = bytes | bytearray | memoryview
 
 
 def printable_reason(text: str, max_length: int = MAX_REASON_LENGTH) -> str:
-    """Return a reason that fits into a protocol's line: printable ASCII without quotes, bounded."""
+    """Return a reason that is safe in a protocol line: printable ASCII without quotes, limited length."""
     return "".join(
         character if " " <= character <= "~" and character not in "'\"" else "?"
         for character in text[:max_length]
@@ -36,9 +37,9 @@
 
 
 def listen(address: Address, *, reuse_port: bool = False) -> socket.socket:
-    """Open a listening socket that does not block. Raises OSError.
+    """Open a non-blocking listening socket. Raises OSError.
 
-    With `reuse_port` a predecessor that can't hand its socket over may still hold the address.
+    With `reuse_port`, the address may still be bound by a predecessor that cannot hand over its socket.
     """
     sock = socket.socket(_family(address), socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -51,7 +52,7 @@
 
 
 async def wait_readable(sock: socket.socket) -> None:
-    """Wait until there is something to read or to accept."""
+    """Wait until the socket has data to read or a connection to accept."""
     loop = asyncio.get_running_loop()
     ready = asyncio.Event()
     loop.add_reader(sock, ready.set)
@@ -62,14 +63,14 @@
 
 
 def is_peer_closed(sock: socket.socket) -> bool:
-    """Return whether the other side has closed or reset the connection, however many bytes are unread."""
+    """Return whether the peer has closed or reset the connection, even if unread bytes remain."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)  # POLLHUP and POLLERR are reported in any case
     return any(events & PEER_CLOSED_EVENTS for _, events in poll.poll(0))
 
 
 async def connect(address: Address, timeout_seconds: float) -> socket.socket:
-    """Connect within the timeout. Raises OSError; a TimeoutError is one."""
+    """Connect within the timeout. Raises OSError, of which TimeoutError is a subclass."""
     sock = socket.socket(_family(address), socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
@@ -83,7 +84,7 @@
 
 
 async def send_buffers(sock: socket.socket, buffers: Sequence[BytesLike]) -> None:
-    """Send all buffers in one gathered write, and what the kernel does not take at once. Raises OSError."""
+    """Send all buffers with one gathered write, and any unsent rest after it. Raises OSError."""
     total = sum(len(buffer) for buffer in buffers)
     try:
         sent = sock.sendmsg(buffers)
@@ -94,10 +95,10 @@
 
 
 def close_socket(sock: socket.socket, *, reset: bool = False) -> None:
-    """Close a connection: in order, or by a reset where the other side reset its own.
+    """Close a connection gracefully, or with a reset to pass on the peer's reset.
 
-    In order, unread bytes are discarded first: a close over them would reset the connection, and what was
-    just written could be lost with it.
+    A graceful close discards unread bytes first: closing with unread bytes would reset the connection, and
+    bytes that were just written could be lost.
     """
     with contextlib.suppress(OSError):
         if reset:
