--- a/violetdoor/net/discovery_client.py
+++ b/violetdoor/net/discovery_client.py
@@ -1,4 +1,4 @@
-"""One HTTP call to discovery for the server list."""
+"""HTTP client that fetches the server list from discovery."""
 
 from __future__ import annotations
 
@@ -10,58 +10,58 @@
 from violetdoor.net.addresses import Address
 from violetdoor.net.sockets import close_socket, connect, send_buffers
 
-CONNECT_TIMEOUT_SECONDS = 1.0  # part of the call's timeout
+CONNECT_TIMEOUT_SECONDS = 1.0  # counts towards the timeout of the whole call
 MAX_BODY_BYTES = 1 << 20
-READ_BYTES = 16 * 1024  # of one read
+READ_CHUNK_BYTES = 16 * 1024
 
 
 class DiscoveryError(Exception):
-    """A call brought no list."""
+    """A call to discovery returned no server list."""
 
 
 class ResponseTimeoutError(DiscoveryError):
-    """The connection was established, and no complete answer came in time."""
+    """The connection was established, but no complete response arrived within the timeout."""
 
     def __init__(self) -> None:
-        """Say that in the log's words."""
-        super().__init__("no complete answer in time")
+        """Set the message."""
+        super().__init__("no complete response within the timeout")
 
 
 class UnreachableError(DiscoveryError):
-    """No connection was established."""
+    """No connection to discovery could be established."""
 
     def __init__(self, cause: OSError) -> None:
-        """Keep the system's reason, if it gave one."""
-        super().__init__(str(cause) or "no connection within the timeout")
+        """Use the message of the system error, if it has one."""
+        super().__init__(str(cause) or "connection not established within the timeout")
 
 
 class ResponseTooLongError(DiscoveryError):
-    """The answer's body is longer than MAX_BODY_BYTES."""
+    """The response body is longer than MAX_BODY_BYTES."""
 
     def __init__(self) -> None:
-        """Say that in the log's words."""
-        super().__init__("the answer is too long")
+        """Set the message."""
+        super().__init__("response body exceeds the size limit")
 
 
-class ResponseCutError(DiscoveryError):
-    """The connection ended before the answer was complete."""
+class TruncatedResponseError(DiscoveryError):
+    """Discovery closed the connection before the response was complete."""
 
     def __init__(self) -> None:
-        """Say that in the log's words."""
-        super().__init__("the connection ended before the answer")
+        """Set the message."""
+        super().__init__("connection closed before the response was complete")
 
 
 class StatusError(DiscoveryError):
-    """The answer has another status than 200."""
+    """The response status is not 200."""
 
     def __init__(self, status: int) -> None:
-        """Keep the status."""
-        super().__init__(f"status {status}")
+        """Record the HTTP status."""
+        super().__init__(f"expected HTTP status 200, found {status}")
         self.status = status
 
 
 class _ResponseBody:
-    """Collects one HTTP answer; the parser calls its methods by these names."""
+    """Collects the body of one HTTP response; httptools calls the `on_` methods by name."""
 
     def __init__(self) -> None:
         self.content = bytearray()
@@ -77,13 +77,13 @@
 
 
 async def fetch_server_list(address: Address, query: str, timeout_seconds: float) -> bytes:
-    """Call discovery for the server list and return the answer's body.
+    """Fetch the server list from discovery and return the response body.
 
-    Raises UnreachableError if no connection is established, ResponseTimeoutError if the answer is not
-    complete in time, another DiscoveryError, OSError or HttpParserError if the answer is unusable.
+    Raises UnreachableError if no connection is established, ResponseTimeoutError if the response is not
+    complete in time, and another DiscoveryError, OSError or HttpParserError if the response is unusable.
 
-    Each call has a connection of its own: a kept one may end while it is idle, or bring bytes behind the
-    previous answer.
+    Each call opens its own connection: a persistent one may be closed while idle, or deliver bytes after the
+    previous response.
     """
     deadline = asyncio.get_running_loop().time() + timeout_seconds
     try:
@@ -97,12 +97,12 @@
     try:
         async with asyncio.timeout_at(deadline):
             await send_buffers(sock, [head.encode()])
-            buffer = bytearray(READ_BYTES)
+            buffer = bytearray(READ_CHUNK_BYTES)
             loop = asyncio.get_running_loop()
             while not body.is_complete:
                 count = await loop.sock_recv_into(sock, buffer)
                 if not count:
-                    raise ResponseCutError
+                    raise TruncatedResponseError
                 parser.feed_data(memoryview(buffer)[:count])
     except TimeoutError as err:
         raise ResponseTimeoutError from err
