--- a/violetdoor/net/server_directory.py
+++ b/violetdoor/net/server_directory.py
@@ -1,4 +1,4 @@
-"""The server list as this relay knows it: versions, addresses and announced departures."""
+"""The server list as known to this relay: version, addresses and announced departures."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 
 log = logging.getLogger("violetdoor.discovery")
 
-# Servers remembered as draining or removed; a site has some tens, and each restart adds a few.
+# Servers tracked as draining or removed; a site has some tens, and each restart adds a few.
 MAX_DEPARTING_SERVERS = 4096
 STATE_BY_WIRE_NAME = {
     "up": ServerState.READY,
     "draining": ServerState.DRAINING,
     "removed": ServerState.REMOVED,
 }
-# What parsing an entry of the wrong form raises.
+# Raised while parsing a malformed entry.
 INVALID_ENTRY_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
 
 
 class ServerDirectory:
-    """The addresses of all listed servers, and of those that were listed most recently."""
+    """Addresses of all listed servers and of the most recently departed ones."""
 
     def __init__(self) -> None:
-        """Begin without a list."""
+        """Start without a list."""
         self.addresses: dict[str, Address] = {}
         self.listed_names: set[str] = set()
         self._departed_names = DepartedServers()
-        self.version: int | None = None  # None before the first list; 0 is a version, too
-        self.newest_version = 0  # highest version seen; a restarted discovery agent can be behind it
-        self.departing: dict[str, ServerEntry] = {}  # servers last listed as draining or removed
+        self.version: int | None = None  # None before the first list; 0 is a valid version
+        self.newest_version = 0  # highest version received; a restarted discovery agent can be behind it
+        self.departing: dict[str, ServerEntry] = {}  # servers whose last entry was draining or removed
 
     def restore(self, version: int | None, entries: Collection[ServerEntry]) -> None:
-        """Continue from the list of this relay's previous process."""
+        """Continue from the list of the relay's previous process."""
         self.version = version
         self.newest_version = version or 0
         self.listed_names = {entry.name for entry in entries}
@@ -47,11 +47,12 @@
     def apply_list(
         self, data: dict[str, Any], kind: ServerListKind | None = None, counters: Counters | None = None
     ) -> ServerListUpdate:
-        """Parse one list in discovery's JSON form and remember its addresses and version.
+        """Parse a list in discovery's JSON format and store its addresses and version.
 
-        Without `kind`, the list says itself whether it is complete. An invalid entry raises one of
-        INVALID_ENTRY_ERRORS. With `counters` it is counted instead, since it would fail each call again, and
-        the other entries are used; a server whose name can be read drains until its entry is valid.
+        Without `kind`, the list's own `full` key states whether it is complete. An invalid entry raises one
+        of INVALID_ENTRY_ERRORS. With `counters` it is only counted, since otherwise every call would fail,
+        and the other entries are used; if its server can be identified, that server drains until its entry
+        is valid again.
         """
         if kind is None:
             kind = ServerListKind.COMPLETE if data.get("full") else ServerListKind.INCREMENTAL
@@ -74,7 +75,7 @@
             if counters is None:
                 raise
             counters["discovery_wrong_entries"] += 1
-            log.warning("invalid entry in the server list: %s %s", type(err).__name__, err)
+            log.warning("invalid entry in the server list from discovery: %s: %s", type(err).__name__, err)
         if isinstance(row, dict) and isinstance(row.get("id"), str):
             return ServerEntry(row["id"], state=ServerState.DRAINING)
         return None
@@ -94,10 +95,10 @@
         return entry
 
     def _reconcile(self, entry: ServerEntry, *, is_older_list: bool) -> ServerEntry:
-        """Return the entry that holds: this one, or a departure that a newer list announced.
+        """Return the entry to use: this one, or the departure that a newer list announced.
 
-        Guards against a discovery agent that restarts behind the known list: an older entry must not bring
-        work back to a server that has been draining since.
+        A discovery agent that restarts with an older list must not return requests to a server that has
+        started draining since.
         """
         if entry.state is not ServerState.READY:
             self.departing[entry.name] = entry
@@ -111,7 +112,7 @@
         return entry
 
     def _update_listed_names(self, kind: ServerListKind, entries: Collection[ServerEntry]) -> None:
-        """Update which servers are listed; of those that were, the most recent keep their addresses."""
+        """Update the listed servers; the most recently departed ones keep their addresses."""
         removed = {entry.name for entry in entries if entry.state is ServerState.REMOVED}
         present = {entry.name for entry in entries} - removed
         before = self.listed_names
@@ -122,6 +123,6 @@
         self._forget_addresses((before | removed) - self.listed_names)
 
     def _forget_addresses(self, departed: Collection[str]) -> None:
-        """Note these servers as departed, and drop the addresses of the oldest beyond the bound."""
+        """Mark servers as departed, and remove the addresses of the oldest ones beyond the limit."""
         for name in self._departed_names.mark_departed(sorted(departed)):
             self.addresses.pop(name, None)
--- a/violetdoor/net/server_list_service.py
+++ b/violetdoor/net/server_list_service.py
@@ -1,4 +1,4 @@
-"""The server list as a service: from discovery or the configuration, and from the previous process."""
+"""Service that maintains the server list, from discovery, the configuration or the previous process."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class ServerListService(Service):
-    """Keeps the core's server list as the configuration says that it comes."""
+    """Keeps the core's server list up to date from discovery or from the configuration."""
 
     def __init__(self, host: ServiceHost) -> None:
-        """Start from the predecessor's list or the configured one, and watch discovery if there is one."""
+        """Start from the predecessor's or the configured list, and watch discovery if it is configured."""
         self.host = host
         self.core = host.core
         self.directory = host.directory
@@ -34,15 +34,15 @@
             )
             self.core.watch_server_list = self.watch.start
         if host.predecessor_state is not None:
-            self._take_over(host.predecessor_state)
+            self._restore(host.predecessor_state)
         else:
             kind = ServerListKind.COMPLETE if self.watch is None else ServerListKind.CACHED
             self.core.update_server_list(self.directory.apply_list(config.known_servers, kind))
         if self.watch is not None:
             self.watch.set_pushed(is_pushed=not config.settings.polls_server_list)
 
-    def _take_over(self, snapshot: RelaySnapshot) -> None:
-        """Start from all that the previous process knew."""
+    def _restore(self, snapshot: RelaySnapshot) -> None:
+        """Restore the server list and the learned state of the previous process."""
         core = self.core
         core.endpoints.known_names.update(snapshot.named)
         core.record_self_reported_draining(snapshot.draining)
@@ -57,14 +57,16 @@
             await self.watch.stop()
 
     def check_config(self, new: Config) -> None:
-        """Raise RestartRequiredError where the list would come from elsewhere."""
+        """Raise RestartRequiredError if the list would switch between discovery and the configuration."""
         if (new.discovery is None) != (self.watch is None):
             raise RestartRequiredError(FixedChange.SERVER_LIST_ORIGIN)
 
     def apply_config(self, new: Config) -> None:
-        """Switch to another address of discovery, or apply the configured list."""
+        """Switch to a new discovery address, or apply the configured list."""
         if self.watch is not None and new.discovery is not None:
-            if new.discovery != self.watch.address:  # else all relays of a site would call at once
+            if (
+                new.discovery != self.watch.address
+            ):  # reloading the same address must not make all relays of a site call at once
                 self.watch.switch_address(new.discovery)
             self.watch.set_pushed(is_pushed=not new.settings.polls_server_list)
         else:
@@ -73,14 +75,14 @@
             )
 
     def gauges(self) -> Mapping[str, Callable[[], int]]:
-        """Return the numbers of listed servers and of those that get nothing new."""
+        """Return the numbers of listed servers and of those that get no new requests."""
         return {
             "pool_size": lambda: len(self.core.endpoints.entries),
             "pool_ejected": self.core.avoided_server_count,
         }
 
     def fill_snapshot(self, snapshot: RelaySnapshot) -> None:
-        """Fill in the list and what the decision module has learned of its servers."""
+        """Fill in the server list and the learned state of the decision module."""
         snapshot.named = sorted(self.core.endpoints.known_names)
         snapshot.entries = [endpoint_snapshot(entry) for entry in self.core.endpoints.entries.values()]
         snapshot.addresses = self.directory.addresses
