--- a/violetdoor/net/__init__.py
+++ b/violetdoor/net/__init__.py
@@ -1,1 +1,1 @@
-"""What all fronts share of the network and of the process: sockets, the server list, counters, the log."""
+"""Network and process code that all fronts share: sockets, the server list, counters and the log."""
--- a/violetdoor/net/counters.py
+++ b/violetdoor/net/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what the program accepts, sends and answers."""
+"""Named counters of accepted, sent and answered items."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class Counters(Counter[str]):
-    """Counts by name."""
+    """Event counts by name."""
 
     def format_line(self) -> str:
-        """Return all counts as the log has them, sorted by name."""
+        """Return all counts as one log line of `name=count` pairs, sorted by name."""
         return " ".join(f"{name}={count}" for name, count in sorted(self.items())) or "none"
--- a/violetdoor/net/json_log.py
+++ b/violetdoor/net/json_log.py
@@ -1,4 +1,4 @@
-"""The log as JSON, an object a line, where the operator's file asks for it; by structlog."""
+"""JSON log format, one object per line, made with structlog; enabled in the operator's file."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def _add_fields(_logger: Any, _method: str, event: Any) -> Any:
-    """Add an event's name and values, and each line's logger, level and time."""
+    """Add an event's name and values, and the logger, level and time of every line."""
     record = event["_record"]
     args = event.pop("positional_args", ())
     if is_event(args):
@@ -27,7 +27,7 @@
 
 
 def json_formatter() -> logging.Formatter:
-    """Return the formatter that writes each line as JSON."""
+    """Return the formatter that writes each line as a JSON object."""
     return ProcessorFormatter(
         processors=[
             _add_fields,
