--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A relay short of descriptors: idle clients may fill them, and the list still comes."""
+"""Descriptor shortage: idle clients use up all descriptors, and server list updates must still arrive."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_server_list_is_updated_though_idle_clients_hold_all_descriptors(tmp_path: Path) -> None:
-    """Discovery refuses while they come; its return is known within the budget of a failed call."""
+    """Discovery fails meanwhile; its recovery must be noticed within the notification budget."""
 
     async def test() -> None:
         async with (
@@ -22,21 +22,21 @@
             Discovery(server) as discovery,
             start_relay(tmp_path, discovery) as it,
         ):
-            await until(lambda: discovery.calls >= 2)  # the list, then the watch
+            await until(lambda: discovery.calls >= 2)  # the complete list, then the watch
             discovery.broken = True
-            discovery.tell(server, "up")  # so that the watch ends, and what follows is refused
+            discovery.tell(server, "up")  # ends the watch; the calls after it fail
             calls = discovery.calls
             await until(lambda: discovery.calls > calls)
             pid, name = it.process.pid, resource.RLIMIT_NOFILE
             before = resource.prlimit(pid, name)
-            held = len(list(Path(f"/proc/{pid}/fd").iterdir()))
-            resource.prlimit(pid, name, (held + 5, before[1]))
+            open_count = len(list(Path(f"/proc/{pid}/fd").iterdir()))
+            resource.prlimit(pid, name, (open_count + 5, before[1]))
             idle = [await it.open() for _ in range(30)]
             for _, writer in idle:
                 writer.write(b"PING\r\n")
             await until(lambda: it.logged("accept failed"))
             failed = discovery.calls
-            await until(lambda: discovery.calls > failed)  # refused, though no other descriptor is free
+            await until(lambda: discovery.calls > failed)  # called although no other descriptor is free
             changes = await read_counter(it, "discovery_changes")
             discovery.broken = False
             discovery.tell(server, "draining")
@@ -55,21 +55,21 @@
 def test_system_limit_bounds_clients_where_the_settings_allow_more(tmp_path: Path) -> None:
     async def test() -> None:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        clients = 12  # descriptors
+        client_descriptors = 12
         try:
             resource.setrlimit(
-                resource.RLIMIT_NOFILE, (RESERVED_DESCRIPTORS + clients, hard)
-            )  # the program inherits it
+                resource.RLIMIT_NOFILE, (RESERVED_DESCRIPTORS + client_descriptors, hard)
+            )  # inherited by the relay process
             async with (
                 GateServer() as server, Discovery(server) as discovery,
                 start_relay(tmp_path, discovery, sockets=4096) as it,
             ):  # fmt: skip
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-                silent = [await it.open() for _ in range(100)]
+                idle = [await it.open() for _ in range(100)]
                 reader, _ = await open_client(it)
                 assert await read_line(reader) == b"UP r1\r\n"
                 assert not await read_counter(it, "accept_failed")
-                for _, writer in silent:
+                for _, writer in idle:
                     writer.close()
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery where it breaks: silent, closed as it rested, cut, slow, with wrong entries among right ones."""
+"""The watch on discovery under faults: no response, closed connections, truncated or slow responses, bad entries."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from standins import Discovery, GateServer, Reader, Writer, run, until
 from test_line import SETTINGS, open_client, read_counter, read_line, start_relay
 
-PATIENT = {"rules": {"askWithin": 40_000.0}}  # by itself the module would ask again after a second or later
+LONG_POLL_DEADLINE = {"rules": {"askWithin": 40_000.0}}  # ms; else the module polls again after 1 s or more
 
 
-class Breaking(Discovery):
-    """Answers as the list stands, but for the calls that a test spoils by their number."""
+class FaultyDiscovery(Discovery):
+    """Discovery whose responses fail for the calls, numbered from 0, that a test chooses."""
 
     def __init__(self, *servers: GateServer) -> None:
         super().__init__(*servers)
-        self.called: list[float] = []  # s, of the loop
-        self.spoil: dict[int, str] = {}
-        self.entries: list[Any] = []  # that stand among the right ones
-        self.form: dict[str, Any] = {}
-        self.fresh = False  # relays start with no list: their first call is for the whole one
+        self.call_times: list[float] = []  # s, loop clock
+        self.faults: dict[int, str] = {}  # by call number
+        self.extra_entries: list[Any] = []  # sent before and after the valid ones
+        self.json_options: dict[str, Any] = {}
+        self.hides_initial_list = False  # relays start without a list, so they first fetch the complete one
 
     def listed(self) -> dict[str, Any]:
-        return {} if self.fresh else self.whole()
+        return {} if self.hides_initial_list else self.complete_list()
 
-    def whole(self) -> dict[str, Any]:
-        whole = super().listed()
-        return whole | {"servers": self.entries[:1] + whole["servers"] + self.entries[1:]}
+    def complete_list(self) -> dict[str, Any]:
+        valid = super().listed()
+        return valid | {"servers": self.extra_entries[:1] + valid["servers"] + self.extra_entries[1:]}
 
     async def serve(self, reader: Reader, writer: Writer) -> None:
         while request := await reader.readline():
@@ -38,52 +38,52 @@
                 pass
             number = self.calls
             self.calls += 1
-            self.called.append(asyncio.get_running_loop().time())
-            way = self.spoil.get(number, "")
-            if way == "silent":
+            self.call_times.append(asyncio.get_running_loop().time())
+            fault = self.faults.get(number, "")
+            if fault == "silent":
                 await reader.read(-1)
                 return
             if b"from=%d&" % self.version in request:
                 await self.changed.wait()
-            body = json.dumps(self.whole(), **self.form).encode()
+            body = json.dumps(self.complete_list(), **self.json_options).encode()
             answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-            if way == "trickles":
+            if fault == "trickles":
                 for byte in answer:
                     writer.write(bytes((byte,)))
                     await asyncio.sleep(0.05)
-            writer.write(answer[: len(answer) // 2] if way == "cut" else answer)
-            if way in ("cut", "closes"):
+            writer.write(answer[: len(answer) // 2] if fault == "cut" else answer)
+            if fault in ("cut", "closes"):
                 await writer.drain()
                 return
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 def test_unresponsive_watch_is_reopened_within_the_notification_budget(tmp_path: Path, mode: str) -> None:
-    """It counts as told 6 s after the silence began; the wait of a call is 4 s and counts from its start."""
+    """Changes count as notified 6 s after the start of the unresponsive call, which discovery may hold 4 s."""
 
     async def test() -> None:
-        gone, stays = GateServer(), GateServer()
-        async with gone, stays, Breaking(gone, stays) as discovery:
-            discovery.fresh, discovery.spoil = (
+        draining, remaining = GateServer(), GateServer()
+        async with draining, remaining, FaultyDiscovery(draining, remaining) as discovery:
+            discovery.hides_initial_list, discovery.faults = (
                 True,
                 {1: "silent"},
-            )  # the whole list comes first, then the watch
+            )  # the complete list comes first, then the watch
             async with start_relay(
-                tmp_path, discovery, settings=SETTINGS | PATIENT | {"discovery": mode}
+                tmp_path, discovery, settings=SETTINGS | LONG_POLL_DEADLINE | {"discovery": mode}
             ) as it:
                 await until(lambda: discovery.calls == 2)
-                discovery.tell(gone, "draining")
+                discovery.tell(draining, "draining")
                 async with asyncio.timeout(8):
                     await until(lambda: discovery.calls >= 3)
-                first, silent, anew = discovery.called[:3]
-                assert anew - silent < 5.5, (first, silent, anew)
-                while await read_counter(it, "discovery_changes") < 4:  # the two lists, of two servers each
+                first, unresponsive, reopened = discovery.call_times[:3]
+                assert reopened - unresponsive < 5.5, (first, unresponsive, reopened)
+                while await read_counter(it, "discovery_changes") < 4:  # two lists of two servers each
                     await asyncio.sleep(0.01)
-                before = len(gone.opened)
+                before = len(draining.opened)
                 for _ in range(20):
                     reader, _ = await open_client(it)
                     assert await read_line(reader) == b"UP r1\r\n"
-                assert len(gone.opened) == before
+                assert len(draining.opened) == before
 
     run(test)
 
@@ -91,31 +91,31 @@
 def test_connection_closed_after_an_answer_is_no_failure(tmp_path: Path) -> None:
     async def test() -> None:
         server = GateServer()
-        async with server, Breaking(server) as discovery:
-            discovery.fresh, discovery.spoil = True, dict.fromkeys(range(6), "closes")
-            async with start_relay(tmp_path, discovery, settings=SETTINGS | PATIENT):
+        async with server, FaultyDiscovery(server) as discovery:
+            discovery.hides_initial_list, discovery.faults = True, dict.fromkeys(range(6), "closes")
+            async with start_relay(tmp_path, discovery, settings=SETTINGS | LONG_POLL_DEADLINE):
                 for calls in range(1, 7):
                     await until(lambda calls=calls: discovery.calls >= calls)  # type: ignore[misc]
-                    told = asyncio.get_running_loop().time()
+                    changed_at = asyncio.get_running_loop().time()
                     discovery.tell(server, "up")
                     await until(lambda calls=calls: discovery.calls > calls)  # type: ignore[misc]
-                    assert discovery.called[calls] - told < 0.2  # else it is no watch that goes on
+                    assert discovery.call_times[calls] - changed_at < 0.2  # else the watch has ended
 
     run(test)
 
 
-@pytest.mark.parametrize("way", ["cut", "trickles", "silent"])
-def test_spoilt_answer_is_abandoned_in_time_and_retried(tmp_path: Path, way: str) -> None:
+@pytest.mark.parametrize("fault", ["cut", "trickles", "silent"])
+def test_faulty_response_is_abandoned_in_time_and_retried(tmp_path: Path, fault: str) -> None:
     async def test() -> None:
         server = GateServer()
-        async with server, Breaking(server) as discovery:
-            discovery.fresh, discovery.spoil = True, {0: way}
+        async with server, FaultyDiscovery(server) as discovery:
+            discovery.hides_initial_list, discovery.faults = True, {0: fault}
             async with start_relay(tmp_path, discovery) as it:
                 async with asyncio.timeout(5):
                     await until(lambda: discovery.calls >= 2)
                 assert (
-                    discovery.called[1] - discovery.called[0] < 2.0 + 0.5
-                )  # the whole wait, and the back-off
+                    discovery.call_times[1] - discovery.call_times[0] < 2.0 + 0.5
+                )  # the timeout and the backoff
                 assert await read_counter(it, "discovery_failed") == 1
                 reader, _ = await open_client(it)
                 assert await read_line(reader) == b"UP r1\r\n"
@@ -123,7 +123,7 @@
     run(test)
 
 
-WRONG: dict[str, Any] = {
+INVALID_ENTRIES: dict[str, Any] = {
     "no object": 7,
     "no id": {"addr": "127.0.0.1:9"},
     "an address without a port": {"id": "s-wrong", "addr": "127.0.0.1"},
@@ -132,13 +132,13 @@
 }
 
 
-@pytest.mark.parametrize("wrong", WRONG)
-def test_invalid_entries_get_no_requests_and_leave_valid_ones_in_use(tmp_path: Path, wrong: str) -> None:
+@pytest.mark.parametrize("invalid", INVALID_ENTRIES)
+def test_invalid_entries_get_no_requests_and_leave_valid_ones_in_use(tmp_path: Path, invalid: str) -> None:
     async def test() -> None:
         server, other = GateServer(), GateServer()
-        async with server, other, Breaking() as discovery, start_relay(tmp_path, discovery) as it:
-            discovery.entries = [WRONG[wrong], WRONG[wrong]]
-            discovery.form = {"indent": 2}
+        async with server, other, FaultyDiscovery() as discovery, start_relay(tmp_path, discovery) as it:
+            discovery.extra_entries = [INVALID_ENTRIES[invalid], INVALID_ENTRIES[invalid]]
+            discovery.json_options = {"indent": 2}
             discovery.tell(server, "up")
             while not await read_counter(it, "discovery_wrong_entries"):
                 await asyncio.sleep(0.01)
@@ -152,20 +152,20 @@
 
 def test_server_whose_entry_becomes_invalid_gets_no_new_requests(tmp_path: Path) -> None:
     async def test() -> None:
-        spoilt, sound = GateServer(), GateServer()
+        invalid, valid = GateServer(), GateServer()
         async with (
-            spoilt,
-            sound,
-            Breaking(spoilt, sound) as discovery,
+            invalid,
+            valid,
+            FaultyDiscovery(invalid, valid) as discovery,
             start_relay(tmp_path, discovery) as it,
         ):
             await until(lambda: discovery.calls == 2)
-            discovery.tell(spoilt, "up and down")
+            discovery.tell(invalid, "up and down")
             while not await read_counter(it, "discovery_wrong_entries"):
                 await asyncio.sleep(0.01)
             for _ in range(20):
                 reader, _ = await open_client(it)
                 assert await read_line(reader) == b"UP r1\r\n"
-            assert not spoilt.opened
+            assert not invalid.opened
 
     run(test)
