--- a/violetdoor/overload/__init__.py
+++ b/violetdoor/overload/__init__.py
@@ -1,6 +1,6 @@
-"""Load shedding: what the relay rejects when it is overloaded itself.
+"""Load shedding: rejects requests while the relay itself is overloaded.
 
-`signals`, `demand`, `work_costs`, `plan`, `controller` and `gate` decide and do no I/O; `meter` reads the
-process and feeds them; `service` connects both to the running program. docs/design/overload.md has the
-control law and its reasons.
+`signals`, `demand`, `work_costs`, `plan`, `controller` and `gate` decide and do no I/O; `meter` measures
+the process and updates them; `service` connects both to the running program. docs/design/overload.md describes
+the control law and the reasons for it.
 """
--- a/violetdoor/overload/plan.py
+++ b/violetdoor/overload/plan.py
@@ -1,7 +1,7 @@
-"""The admission plan: a budget of processor time, shared out by tenant and filled by priority weight.
+"""The admission plan: divides a budget of processor time by tenant share and priority weight.
 
-Levels are filled from the top: what is within tenants' shares comes before what is beyond, and in each half
-the classes come by priority weight. At most one level is admitted partly.
+The budget admits demand within tenants' shares first, then demand beyond them, each in the order of the
+classes' priority weights. At most one combination of share and class is admitted partly.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 
 from violetdoor.overload.demand import DemandRate
 
-MIN_TENANT_FRACTION = 0.02  # of the budget, the least share of any tenant
+MIN_TENANT_FRACTION = 0.02  # minimum share of any tenant, as a fraction of the budget
 
 
 @dataclass(slots=True)
 class AdmissionPlan:
-    """What is admitted until the next reading; what it does not name is admitted."""
+    """Fractions to admit until the next reading; demand without an entry is admitted."""
 
-    # By tenant and class: the fraction of the demand that is within the tenant's share.
+    # Fraction of the demand that is within the tenant's share, by tenant and class.
     within_share_fractions: dict[tuple[str, str], float] = field(default_factory=dict)
-    # By class: the fractions admitted of all that is within shares, and of all that is beyond.
+    # Admitted fractions of the demand within shares and beyond them, by class.
     admitted_within_share: dict[str, float] = field(default_factory=dict)
     admitted_beyond_share: dict[str, float] = field(default_factory=dict)
-    accepted_connection_fraction: float = 1.0  # of new connections that are even read from
+    accepted_connection_fraction: float = 1.0  # of new connections; the others are rejected unread
 
 
 def plan_admission(
@@ -32,17 +32,17 @@
     rates: Mapping[tuple[str, str], DemandRate],
     setup_seconds: float,
 ) -> AdmissionPlan:
-    """Share a budget out over the demand.
+    """Divide a budget among the demand.
 
-    `budget` is in cores, `classes` are in the order of their priority weights, `rates` are by tenant and
-    class, and `setup_seconds` of a core is what each request costs.
+    `budget` is in cores, `classes` are in descending order of priority weight, `rates` are by tenant and
+    class, and `setup_seconds` is the processor time of one request.
     """
     plan = AdmissionPlan()
     demanded_within: dict[str, float] = {}
     demanded_beyond: dict[str, float] = {}
     for tenant, share in _tenant_shares(budget, rates, setup_seconds).items():
         remaining = share
-        for class_name in classes:  # the first classes use the tenant's share first
+        for class_name in classes:  # classes of higher priority use the tenant's share first
             rate = rates.get((tenant, class_name))
             demanded = 0.0 if rate is None else rate.current * setup_seconds
             if demanded <= 0.0:
@@ -52,15 +52,15 @@
             plan.within_share_fractions[tenant, class_name] = within / demanded
             demanded_within[class_name] = demanded_within.get(class_name, 0.0) + within
             demanded_beyond[class_name] = demanded_beyond.get(class_name, 0.0) + demanded - within
-    budget = _fill_levels(plan.admitted_within_share, classes, demanded_within, budget)
-    _fill_levels(plan.admitted_beyond_share, classes, demanded_beyond, budget)
+    budget = _admit_classes(plan.admitted_within_share, classes, demanded_within, budget)
+    _admit_classes(plan.admitted_beyond_share, classes, demanded_beyond, budget)
     return plan
 
 
 def _tenant_shares(
     budget: float, rates: Mapping[tuple[str, str], DemandRate], setup_seconds: float
 ) -> dict[str, float]:
-    """Return each tenant's share of the budget, in cores: in proportion to its usual demand."""
+    """Return each tenant's share of the budget in cores, in proportion to its usual demand."""
     usual: dict[str, float] = {}
     for (tenant, _), rate in rates.items():
         usual[tenant] = usual.get(tenant, 0.0) + rate.usual * setup_seconds
@@ -69,10 +69,10 @@
     return {tenant: max(cores * scale, MIN_TENANT_FRACTION * budget) for tenant, cores in usual.items()}
 
 
-def _fill_levels(
+def _admit_classes(
     admitted: dict[str, float], classes: Sequence[str], demanded: Mapping[str, float], budget: float
 ) -> float:
-    """Set the admitted fraction of each class, the first classes first; return what is left of the budget."""
+    """Set the admitted fraction of each class, in order of `classes`; return the remaining budget."""
     for class_name in classes:
         cores = demanded.get(class_name, 0.0)
         if cores <= 0:
