--- a/violetdoor/overload/signals.py
+++ b/violetdoor/overload/signals.py
@@ -1,4 +1,4 @@
-"""Signals of the relay's own load, each expressed as a pressure: 0 at its low threshold, 1 at its high."""
+"""Load signals of the relay, each converted to a pressure: 0 at its low threshold, 1 at its high one."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-# Names of the signals, as the console and the log show them.
+# Names of the signals on the console and in the log.
 DELAY = "delay"
 CPU = "cpu"
 MEMORY = "memory"
@@ -14,30 +14,31 @@
 BACKLOG = "backlog"
 QUEUED = "queued"
 
-MAX_PRESSURE = 3.0  # a signal counts no higher, so that one extreme value does not linger
-STALE_SECONDS = 1.0  # without a reading for so long a signal says nothing
+MAX_PRESSURE = 3.0  # upper bound of a pressure, so that one extreme value decays soon
+STALE_AFTER_SECONDS = 1.0  # a signal without a reading for this long is ignored
 
-# Signals of limits: more processor time would not help, so they cap admission directly.
+# Signals of limits that more processor time would not relieve, so they reduce admission directly.
 LIMIT_SIGNALS = (MEMORY, DESCRIPTORS, QUEUED)
-LIMITING_PRESSURE = 0.8  # of a limit signal, from which less is admitted
-LIMITING_PRESSURE_SPAN = 0.4  # beyond it until hardly anything is
+LIMITING_PRESSURE = 0.8  # above this pressure of a limit signal, the admitted fraction decreases
+LIMITING_PRESSURE_SPAN = 0.4  # pressure range over which it decreases to the minimum
 MIN_CAPACITY_FRACTION = 0.02  # always admitted, so that recovery is noticed
 
-MEMORY_LOOKAHEAD_SECONDS = 2.0  # memory counts as what it will be by then at its current growth
+MEMORY_LOOKAHEAD_SECONDS = 2.0  # the memory signal extrapolates the current growth this far
 
-CPU_SHARE_SECONDS = 0.2  # time constant of the share of the processor that other programs leave
+CPU_SHARE_TIME_CONSTANT_SECONDS = 0.2  # smoothing of `cpu_share`
 MIN_CPU_SHARE = 0.1
-MIN_READY_FRACTION = 0.05  # of the cores: a process that was ready for less tells nothing of that share
+MIN_READY_FRACTION = 0.05  # of the cores; below this ready time, `cpu_share` is not updated
 MIN_ELAPSED_SECONDS = 0.01  # for smoothing
 
-# A reading is of a pause, and not of load, if it covers more than this and the process was ready for less.
-PAUSE_SECONDS = 0.4
-PAUSE_READY_FRACTION = 0.5  # of the cores
+# A reading shows a process pause, not load, if it covers more than this time and the process was ready to run
+# for less than this fraction of it.
+MIN_PAUSE_SECONDS = 0.4
+MAX_PAUSE_READY_FRACTION = 0.5  # of the cores
 
 
 @dataclass(slots=True, frozen=True)
 class Thresholds:
-    """Where a signal's pressure is 0 and 1, and the time constant by which it falls; it rises at once."""
+    """Values of a signal at pressure 0 and 1, and the time constant of its decay; increases apply at once."""
 
     low: float
     high: float
@@ -45,9 +46,9 @@
 
 
 THRESHOLDS = {
-    DELAY: Thresholds(0.006, 0.020, 0.3),  # seconds; the objective is 30 ms at the 99th percentile
-    CPU: Thresholds(0.75, 0.97, 0.3),  # of the processor time that the process can have
-    # Fractions of their limits.
+    DELAY: Thresholds(0.006, 0.020, 0.3),  # seconds; the latency objective is 30 ms at the 99th percentile
+    CPU: Thresholds(0.75, 0.97, 0.3),  # fraction of the available processor time
+    # Fractions of the respective limits.
     MEMORY: Thresholds(0.80, 0.95, 0.5),
     DESCRIPTORS: Thresholds(0.85, 1.0, 0.5),
     BACKLOG: Thresholds(0.25, 0.90, 0.3),
@@ -59,41 +60,41 @@
 class Reading:
     """One measurement of the process.
 
-    Times are seconds, processor time is in cores, and everything else is a fraction of its limit.
+    Times are in seconds, processor time is in cores, and all other values are fractions of their limits.
     """
 
-    measured_at: float  # by the monotonic clock
-    loop_delay_seconds: float  # the longest that a callback that was due waited since the previous reading
-    used_cores: float  # by the process and its children since then
-    waiting_cores: float  # for which the process was ready to run and another one ran
+    measured_at: float  # monotonic clock
+    loop_delay_seconds: float  # maximum delay of a due callback since the previous reading
+    used_cores: float  # used by the process and its children since then
+    waiting_cores: float  # time in which the process was ready to run but did not get a core
     memory_fraction: float = 0.0
     memory_growth_per_second: float = 0.0
     descriptor_fraction: float = 0.0
     backlog_fraction: float = 0.0  # of the listening socket's queue
-    queued_fraction: float = 0.0  # of the bytes that may wait for clients
-    span_seconds: float = 0.0  # that the reading covers; 0: all since the previous one
+    queued_fraction: float = 0.0  # of the limit of bytes queued for clients
+    span_seconds: float = 0.0  # time that the reading covers; 0 means since the previous one
 
 
 class Pressure(NamedTuple):
-    """How overloaded the relay is, and the signal that says so."""
+    """The highest pressure and its signal."""
 
-    value: float  # 1 and more: overloaded
+    value: float  # the relay is overloaded at 1 and above
     signal: str
 
 
 @dataclass(slots=True)
 class LoadSignal:
-    """One signal, smoothed."""
+    """One smoothed signal."""
 
     thresholds: Thresholds
     value: float = 0.0
     updated_at: float = -math.inf
 
     def update(self, value: float, now: float) -> None:
-        """Take in a value: a higher one counts at once and up to a cap, a lower one gradually."""
+        """Update with a new value: an increase applies at once, up to a cap; a decrease is smoothed."""
         low = self.thresholds.low
         value = min(value, low + MAX_PRESSURE * (self.thresholds.high - low))
-        if value >= self.value or now - self.updated_at > STALE_SECONDS:
+        if value >= self.value or now - self.updated_at > STALE_AFTER_SECONDS:
             self.value = value
         else:
             elapsed = max(0.0, now - self.updated_at)
@@ -102,8 +103,8 @@
         self.updated_at = now
 
     def pressure(self, now: float) -> float:
-        """Return 1 at the high threshold, below 0 under the low one, and 0 where the value is stale."""
-        if now - self.updated_at > STALE_SECONDS:
+        """Return the pressure: 0 at the low threshold, 1 at the high one, negative below; 0 if stale."""
+        if now - self.updated_at > STALE_AFTER_SECONDS:
             return 0.0
         thresholds = self.thresholds
         return min(MAX_PRESSURE, (self.value - thresholds.low) / (thresholds.high - thresholds.low))
@@ -115,35 +116,35 @@
 
 @dataclass(slots=True)
 class LoadSignals:
-    """All signals of one process, and the pressure that follows from them."""
+    """All load signals of one process and the resulting pressure."""
 
-    cores: float = 1.0  # that the process may use
+    cores: float = 1.0  # processor cores that the process may use
     signals: dict[str, LoadSignal] = field(default_factory=_new_signals)
     last_reading: Reading | None = None
-    cpu_share: float = 1.0  # of the time in which the process is ready to run, the fraction in which it runs
-    skipped_readings: int = 0  # that covered a pause of the whole process
+    cpu_share: float = 1.0  # fraction of its ready time in which the process runs
+    skipped_readings: int = 0  # readings ignored because of a process pause
 
     def update(self, reading: Reading) -> bool:
-        """Take in a reading; return False for one that tells of a pause and not of load.
+        """Update all signals with a reading; return False if it is skipped because of a process pause.
 
-        Guards against mass shedding after one stale sample: a process that was stopped for two seconds finds
-        its loop two seconds late, though it neither ran nor waited for the processor in that time.
+        A process that was stopped for two seconds finds its event loop two seconds late, although it neither
+        ran nor waited for the processor. Counting that as load would reject many clients after one reading.
         """
         span = self._span(reading)
         self.last_reading = reading
         ready_cores = reading.used_cores + reading.waiting_cores
-        if span > PAUSE_SECONDS and ready_cores < PAUSE_READY_FRACTION * self.cores:
+        if span > MIN_PAUSE_SECONDS and ready_cores < MAX_PAUSE_READY_FRACTION * self.cores:
             self.skipped_readings += 1
             return False
         if ready_cores > MIN_READY_FRACTION * self.cores:
-            weight = 1.0 - math.exp(-max(MIN_ELAPSED_SECONDS, span) / CPU_SHARE_SECONDS)
+            weight = 1.0 - math.exp(-max(MIN_ELAPSED_SECONDS, span) / CPU_SHARE_TIME_CONSTANT_SECONDS)
             self.cpu_share += (max(MIN_CPU_SHARE, reading.used_cores / ready_cores) - self.cpu_share) * weight
         for name, value in self._values(reading).items():
             self.signals[name].update(value, reading.measured_at)
         return True
 
     def _span(self, reading: Reading) -> float:
-        """Return the seconds that a reading covers."""
+        """Return the time that a reading covers, in seconds."""
         if reading.span_seconds:
             return reading.span_seconds
         if self.last_reading is None:
@@ -173,11 +174,11 @@
 
     @property
     def available_cores(self) -> float:
-        """Cores that the process can have now: other programs may take a part of them."""
+        """Cores currently available to the process; other programs may use a part of them."""
         return self.cores * self.cpu_share
 
     def capacity_fraction(self, now: float) -> float:
-        """Return the fraction of the demand that the limits other than the processor leave capacity for."""
+        """Return the fraction of the demand to admit according to the limits other than the processor."""
         highest = max(self.signals[name].pressure(now) for name in LIMIT_SIGNALS)
         fraction = 1.0 - (highest - LIMITING_PRESSURE) / LIMITING_PRESSURE_SPAN
         return min(1.0, max(MIN_CAPACITY_FRACTION, fraction))
