--- a/violetdoor/overload/meter.py
+++ b/violetdoor/overload/meter.py
@@ -1,7 +1,7 @@
-"""The load meter: reads the process, feeds the overload controller, and carries out what follows.
+"""The load meter: measures the process, updates the overload controller and applies its decisions.
 
-Everything is read from /proc and the socket itself: 1 us each and 9 for the memory, where psutil takes 19 us
-for the memory and 25 us for the times and costs 1.3 MB.
+It reads /proc and the socket directly, which takes 1 us for each value and 9 us for the memory. psutil would
+take 19 us for the memory and 25 us for the times, and uses 1.3 MB.
 """
 
 from __future__ import annotations
@@ -27,52 +27,52 @@
 
 log = logging.getLogger("violetdoor.overload")
 
-DELAY_CHECK_SECONDS = 0.02  # between two checks of the event loop's delay
+DELAY_CHECK_INTERVAL_SECONDS = 0.02  # between two measurements of the event loop's delay
 DELAY_CHECKS_PER_READING = 3
-MIN_SPAN_SECONDS = 1e-3  # of a reading
-REJECTION_LOG_SECONDS = 5.0  # between two sets of lines on what was rejected
-MAX_REJECTION_LINES = 20  # in each set
-MAX_LOGGED_BUDGET_CORES = 99.0  # without a limit the budget is infinite
+MIN_SPAN_SECONDS = 1e-3  # minimum time that a reading covers
+REJECTION_LOG_INTERVAL_SECONDS = 5.0  # between two log reports on rejections
+MAX_REJECTION_LINES = 20  # in each report
+MAX_LOGGED_BUDGET_CORES = 99.0  # shown for larger budgets; an unlimited one is infinite
 
-HISTOGRAM_SECONDS = 10.0  # that one histogram of delays covers before the other one begins
+HISTOGRAM_INTERVAL_SECONDS = 10.0  # time for which one of the two delay histograms records
 MAX_DELAY_US = 60_000_000
-HISTOGRAM_DIGITS = 2  # significant digits of a delay
+HISTOGRAM_DIGITS = 2  # significant digits
 MEDIAN_PERCENTILE = 50.0
 TAIL_PERCENTILE = 99.0
 US_PER_MS = 1000
 US_PER_SECOND = 1e6
 NS_PER_SECOND = 1e9
 
-MEMORY_GROWTH_SECONDS = 1.0  # time constant of the memory's growth
-RELIEF_PRESSURE = 1.0  # of memory, from which the front relieves it
-RELIEF_END_PRESSURE = 0.5  # below which it stops
-MIGRATION_AFTER_SECONDS = 1.0  # of memory pressure, after which clients are migrated, too
+MEMORY_GROWTH_TIME_CONSTANT_SECONDS = 1.0
+RELIEF_PRESSURE = 1.0  # memory pressure at which the front starts to reduce its memory use
+RELIEF_END_PRESSURE = 0.5  # memory pressure below which it stops doing so
+MIGRATION_AFTER_SECONDS = 1.0  # clients are also migrated after this time of memory pressure
 
-SCHEDSTAT_BYTES = 128  # more than the file ever has
-TCP_INFO_BYTES = 64  # as much of tcp_info as is read
-TCP_INFO_UNACKED_OFFSET = 24  # of tcpi_unacked and tcpi_sacked: a listener's queue and its limit
+SCHEDSTAT_BYTES = 128  # more than the file's maximum size
+TCP_INFO_BYTES = 64  # leading part of struct tcp_info that is read
+TCP_INFO_UNACKED_OFFSET = 24  # tcpi_unacked, then tcpi_sacked: queue length and limit of a listener
 
 
 class RelieveMemory(Protocol):
-    """Asks a front to hold less memory."""
+    """Callback that asks a front to reduce its memory use."""
 
     def __call__(self, *, under_pressure: bool, migrate: bool) -> None:
-        """Read less for the longest queues while memory is pressed; migrate the lowest priorities, too."""
+        """Under pressure read less for the longest queues; `migrate` also migrates low-priority clients."""
 
 
 @dataclass(slots=True)
 class FrontResources:
-    """What the meter reads of the front, and what it asks of it."""
+    """Measurements of the front, and the callback that reduces its memory use."""
 
     listener: socket.socket
-    descriptor_fraction: Callable[[], float]  # of the limit, in use
-    queued_fraction: Callable[[], float]  # of the limit, waiting for clients
+    descriptor_fraction: Callable[[], float]  # used fraction of the descriptor limit
+    queued_fraction: Callable[[], float]  # used fraction of the limit of bytes queued for clients
     relieve_memory: RelieveMemory
-    sibling_memory_bytes: Callable[[], float]  # of the other process of an upgrade
+    sibling_memory_bytes: Callable[[], float]  # used by the other process during an upgrade
 
 
 class LoopDelays(NamedTuple):
-    """How late the event loop was in the last 10 to 20 s, in ms."""
+    """Event loop delays of the last 10 to 20 s, in ms."""
 
     median: float
     p99: float
@@ -80,7 +80,7 @@
 
 
 def listen_queue_fraction(listener: socket.socket) -> float:
-    """Return how much of a listening socket's queue is taken; 0 if it is closed, as while a front drains."""
+    """Return the used fraction of a socket's listen queue; 0 if it is closed, as while a front drains."""
     if listener.fileno() < 0:
         return 0.0
     info = listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
@@ -89,13 +89,13 @@
 
 
 def _used_cpu_seconds() -> float:
-    """Return the processor time of this process and of its children that have ended."""
+    """Return the processor time of this process and its terminated children."""
     children = resource.getrusage(resource.RUSAGE_CHILDREN)
     return time.process_time() + children.ru_utime + children.ru_stime
 
 
 class LoadMeter:
-    """Takes readings until it is closed; needs a running event loop."""
+    """Takes readings until it is closed; requires a running event loop."""
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
         counters: Counters,
         memory_limit_bytes: float,
     ) -> None:
-        """Start at once; a memory limit of 0 means that there is none."""
+        """Start taking readings; a memory limit of 0 means no limit."""
         self.gate = gate
         self.resources = resources
         self.counters = counters
@@ -113,7 +113,7 @@
         self._delays = [HdrHistogram(1, MAX_DELAY_US, HISTOGRAM_DIGITS) for _ in range(2)]  # newer, older
         self._schedstat = os.open("/proc/self/schedstat", os.O_RDONLY)
         self._longest_delay = 0.0
-        self._checks = 0  # of the delay, since the previous reading
+        self._checks = 0  # delay measurements since the previous reading
         now = time.monotonic()
         self._histograms_rotated_at = now
         self._rejections_logged_at = now
@@ -121,10 +121,10 @@
         self._used_seconds = _used_cpu_seconds()
         self._waited_seconds = self._waited_cpu_seconds()
         self._memory_bytes = resident_memory_bytes()
-        self._memory_growth = 0.0  # bytes a second
-        self._memory_pressed_since: float | None = None
-        self._check_due_at = now + DELAY_CHECK_SECONDS
-        self._timer = self._loop.call_later(DELAY_CHECK_SECONDS, self._check_delay)
+        self._memory_growth = 0.0  # bytes per second
+        self._memory_pressure_since: float | None = None
+        self._check_due_at = now + DELAY_CHECK_INTERVAL_SECONDS
+        self._timer = self._loop.call_later(DELAY_CHECK_INTERVAL_SECONDS, self._check_delay)
 
     def close(self) -> None:
         """Stop taking readings."""
@@ -132,35 +132,35 @@
         os.close(self._schedstat)
 
     def _waited_cpu_seconds(self) -> float:
-        """Return the time in which the process was ready to run and another one ran: proc(5), schedstat."""
+        """Return the time the process waited for a core, read from /proc/self/schedstat (see proc(5))."""
         return int(os.pread(self._schedstat, SCHEDSTAT_BYTES, 0).split()[1]) / NS_PER_SECOND
 
     def _check_delay(self) -> None:
-        """Record how late this callback runs, by the system's clock: uvloop's stands still for a round."""
+        """Record how late this callback runs, by the system clock: uvloop's stands still in an iteration."""
         now = time.monotonic()
         delay = max(0.0, now - self._check_due_at)
         self._longest_delay = max(self._longest_delay, delay)
         self._delays[0].record_value(max(1, round(delay * US_PER_SECOND)))
         self._checks += 1
-        is_overdue = now - self._read_at >= DELAY_CHECK_SECONDS * DELAY_CHECKS_PER_READING
+        is_overdue = now - self._read_at >= DELAY_CHECK_INTERVAL_SECONDS * DELAY_CHECKS_PER_READING
         if self._checks >= DELAY_CHECKS_PER_READING or is_overdue:
             self._checks = 0
             self._update(now)
-        self._check_due_at = time.monotonic() + DELAY_CHECK_SECONDS
-        self._timer = self._loop.call_later(DELAY_CHECK_SECONDS, self._check_delay)
+        self._check_due_at = time.monotonic() + DELAY_CHECK_INTERVAL_SECONDS
+        self._timer = self._loop.call_later(DELAY_CHECK_INTERVAL_SECONDS, self._check_delay)
 
     def _update(self, now: float) -> None:
-        """Take a reading, let the controller decide, and do what is due."""
+        """Take a reading, update the controller, and apply its decision."""
         controller = self.gate.controller
         level_before = controller.level
         level = controller.update(self._take_reading(now))
         if level is not level_before:
             self._report_level_change(level_before, level)
         self._relieve_memory(now)
-        if now - self._rejections_logged_at >= REJECTION_LOG_SECONDS:
+        if now - self._rejections_logged_at >= REJECTION_LOG_INTERVAL_SECONDS:
             self._rejections_logged_at = now
             self._log_rejections()
-        if now - self._histograms_rotated_at >= HISTOGRAM_SECONDS:
+        if now - self._histograms_rotated_at >= HISTOGRAM_INTERVAL_SECONDS:
             self._histograms_rotated_at = now
             self._delays.reverse()
             self._delays[0].reset()
@@ -171,7 +171,9 @@
         waited_seconds = self._waited_cpu_seconds()
         memory_bytes = resident_memory_bytes()
         growth = (memory_bytes - self._memory_bytes) / span
-        self._memory_growth += (growth - self._memory_growth) * min(1.0, span / MEMORY_GROWTH_SECONDS)
+        self._memory_growth += (growth - self._memory_growth) * min(
+            1.0, span / MEMORY_GROWTH_TIME_CONSTANT_SECONDS
+        )
         limit = self.memory_limit_bytes
         all_memory_bytes = memory_bytes + self.resources.sibling_memory_bytes()
         reading = Reading(
@@ -194,23 +196,23 @@
         return reading
 
     def _relieve_memory(self, now: float) -> None:
-        """Under memory pressure read less from the longest queues first, then migrate the lowest priority."""
+        """Under memory pressure, read less for the longest queues, then also migrate low-priority clients."""
         pressure = self.gate.controller.signals.pressure_of(MEMORY, now)
         if pressure < RELIEF_PRESSURE:
-            if pressure < RELIEF_END_PRESSURE and self._memory_pressed_since is not None:
-                self._memory_pressed_since = None
+            if pressure < RELIEF_END_PRESSURE and self._memory_pressure_since is not None:
+                self._memory_pressure_since = None
                 self.resources.relieve_memory(under_pressure=False, migrate=False)
             return
-        if self._memory_pressed_since is None:
-            self._memory_pressed_since = now
-        migrate = now - self._memory_pressed_since >= MIGRATION_AFTER_SECONDS
+        if self._memory_pressure_since is None:
+            self._memory_pressure_since = now
+        migrate = now - self._memory_pressure_since >= MIGRATION_AFTER_SECONDS
         self.resources.relieve_memory(under_pressure=True, migrate=migrate)
 
     def _report_level_change(self, before: LoadLevel, after: LoadLevel) -> None:
         controller = self.gate.controller
         self.counters[f"overload_{after.value}"] += 1
         log.info(
-            "load %s -> %s by %s, pressure %.2f, budget %.2f of a core",
+            "load %s -> %s by %s, pressure %.2f, budget for new requests %.2f cores",
             before.value,
             after.value,
             controller.cause or "demand",
@@ -222,10 +224,16 @@
         for key, count in self.gate.take_recent_rejections()[:MAX_REJECTION_LINES]:
             class_name = key.class_name or "-"
             tenant = key.tenant or "-"
-            log.info("shed %d of class %s, tenant %s: %s", count, class_name, tenant, key.reason)
+            log.info(
+                "rejected %d clients because of load: class %s, tenant %s, reason %s",
+                count,
+                class_name,
+                tenant,
+                key.reason,
+            )
 
     def loop_delays(self) -> LoopDelays:
-        """Return how late the event loop was lately."""
+        """Return the recent delays of the event loop."""
         delays = HdrHistogram(1, MAX_DELAY_US, HISTOGRAM_DIGITS)
         for histogram in self._delays:
             delays.add(histogram)
@@ -236,7 +244,7 @@
         )
 
     def gauges(self) -> dict[str, float]:
-        """Return the figures that the console shows, by the names that it shows."""
+        """Return the values shown on the console, by name."""
         controller = self.gate.controller
         delays = self.loop_delays()
         gauges = {
@@ -257,7 +265,7 @@
         return gauges
 
     def status_text(self) -> str:
-        """Return the level, the figures and everything that was rejected since the start, a line each."""
+        """Return the console's status: the level, the gauges and all rejection counts, one per line."""
         controller = self.gate.controller
         lines = [f"level {controller.level.value}", f"cause {controller.cause or 'none'}"]
         lines += [f"{name} {value:.4g}" for name, value in self.gauges().items()]
--- a/violetdoor/overload/service.py
+++ b/violetdoor/overload/service.py
@@ -1,4 +1,4 @@
-"""Load shedding as a service: the gate that fronts ask, and the meter that feeds its controller."""
+"""Service for load shedding: the admission gate for fronts, and the meter that feeds its controller."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class OverloadService(Service):
-    """Rejects requests before the relay falls behind; needs an `overload` table in the configuration."""
+    """Rejects requests before the relay is overloaded; requires an `overload` table in the configuration."""
 
     def __init__(self, host: ServiceHost) -> None:
-        """Make the gate, which fronts find at their host."""
+        """Create the admission gate and register it at the host for the fronts."""
         assert host.config.overload is not None
         self.host = host
         self.options = host.config.overload
@@ -34,7 +34,7 @@
         self.meter: LoadMeter | None = None
 
     async def start(self) -> None:
-        """Begin to measure."""
+        """Start the load meter."""
         front = self.host.front
         acceptor = front.acceptor
         resources = FrontResources(
@@ -51,12 +51,12 @@
         return self.host.front.queued_bytes() / (self.options.queued_mb * BYTES_PER_MIB)
 
     async def stop(self) -> None:
-        """Stop measuring."""
+        """Stop the load meter."""
         if self.meter is not None:
             self.meter.close()
 
     def apply_config(self, new: Config) -> None:
-        """Take over the priority weights of a configuration."""
+        """Apply the priority weights of a configuration."""
         self.gate.set_priority_weights(_priority_weights(new))
 
     def handle_call(self, method: str, path: list[str]) -> Answer | None:
