--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Load shedding: the controller on a plant of one core, and the real program when it is overloaded."""
+"""Load shedding: the controller with a simulated core, and the real program under overload."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-from plant import READING_SECONDS, Plant
+from plant import READING_INTERVAL_SECONDS, Plant
 from standins import PATIENCE, GateServer, NatsServer, Relay, run
 from test_line import opening_line, read_line
 from test_rules import ruled
@@ -27,7 +27,7 @@
 from violetdoor.overload.meter import listen_queue_fraction
 from violetdoor.overload.signals import THRESHOLDS, LoadSignals, Reading
 
-USUAL_LOAD = {  # requests a second by tenant and class: 0.7 of a core
+USUAL_LOAD = {  # requests per second by (tenant, class), 0.7 of a core in total
     ("a", "booking"): 90.0,
     ("a", "checkin"): 310.0,
     ("b", "booking"): 60.0,
@@ -36,12 +36,12 @@
 
 
 def scaled(factor: float) -> dict[tuple[str, str], float]:
-    """Return the usual load times a factor."""
+    """Return the usual load multiplied by a factor."""
     return {row: rate * factor for row, rate in USUAL_LOAD.items()}
 
 
 def warmed_up(plant: Plant) -> Plant:
-    """Let the controller learn the usual load."""
+    """Let the controller learn the usual load, without rejections."""
     plant.run(60, lambda _: USUAL_LOAD)
     assert not plant.rejected
     assert plant.controller.level is LoadLevel.CALM
@@ -52,11 +52,11 @@
 @pytest.mark.parametrize("factor", [2.0, 4.0])
 @pytest.mark.parametrize("setup", [0.0004, 0.001])
 def test_overload_keeps_the_delay_low_and_the_weight_served_high(factor: float, setup: float) -> None:
-    """Compared with the best possible, which admits what one core can do, bookings first."""
+    """Compare with the optimum, which admits as much as one core can process, bookings first."""
     plant = warmed_up(Plant(setup=setup))
-    scale = 0.001 / setup  # as many more requests as each is cheaper
+    scale = 0.001 / setup  # cheaper requests arrive proportionally more often
     plant.run(20, lambda _: scaled(scale))
-    plant.run(1, lambda _: scaled(factor * scale))  # the jump itself is the next test's
+    plant.run(1, lambda _: scaled(factor * scale))  # the sudden increase itself is tested below
     plant.reset_counts()
     plant.run(20, lambda _: scaled(factor * scale))
     delays = sorted(delay for _, delay in plant.delays)
@@ -64,8 +64,8 @@
     served = {row: plant.requested[row] - plant.rejected[row] for row in USUAL_LOAD}
     weight = sum(count * (3.0 if cls == "booking" else 1.0) for (_, cls), count in served.items())
     requested = sum(plant.requested.values())
-    refusal_seconds = requested * plant.refusal  # each that is not served costs, too
-    servable = (20 * (1.0 - plant.base) - refusal_seconds) / (setup - plant.refusal)
+    rejection_seconds = requested * plant.rejection  # rejected requests use processor time, too
+    servable = (20 * (1.0 - plant.base) - rejection_seconds) / (setup - plant.rejection)
     bookings = sum(plant.requested[tenant, "booking"] for tenant in "ab")
     best_weight = 3.0 * min(bookings, servable) + max(0.0, servable - bookings)
     assert weight >= 0.90 * best_weight, weight / best_weight
@@ -90,17 +90,17 @@
 
 
 def test_constant_overload_does_not_oscillate() -> None:
-    """No swinging: the part that is let in stays within a band, and the level does not flap."""
+    """The rejected fraction must stay within a band, and the level must not alternate."""
     plant = warmed_up(Plant())
     plant.run(5, lambda _: scaled(2.0))
     plant.reset_counts()
-    parts = []
+    rejected_fractions = []
     for _ in range(20):
         plant.requested.clear()
         plant.rejected.clear()
         plant.run(1.0, lambda _: scaled(2.0))
-        parts.append(sum(plant.rejected.values()) / sum(plant.requested.values()))
-    assert max(parts) - min(parts) < 0.15, parts
+        rejected_fractions.append(sum(plant.rejected.values()) / sum(plant.requested.values()))
+    assert max(rejected_fractions) - min(rejected_fractions) < 0.15, rejected_fractions
     changes = sum(a is not b for (_, a), (_, b) in zip(plant.levels, plant.levels[1:], strict=False))
     assert changes <= 2
 
@@ -123,8 +123,8 @@
     plant.run(2, lambda _: USUAL_LOAD)
     plant.reset_counts()
     plant.run(15, lambda _: USUAL_LOAD)
-    late = sorted(delay for _, delay in plant.delays)
-    assert late[int(len(late) * 0.95)] <= 0.06
+    delays = sorted(delay for _, delay in plant.delays)
+    assert delays[int(len(delays) * 0.95)] <= 0.06
     assert sum(plant.rejected.values()) > 0
     assert plant.rejected_fraction("a", "booking") < 0.02
     plant.stolen_fraction = 0.0
@@ -135,7 +135,7 @@
 
 
 def test_pause_of_the_process_sheds_nobody() -> None:
-    """SIGSTOP for 2 s: one look that tells of a delay of 2 s, in which the process neither ran nor waited."""
+    """After SIGSTOP for 2 s one reading has a delay of 2 s, though the process neither ran nor waited."""
     plant = warmed_up(Plant())
     plant.now += 2.0
     plant.read(2.0, 0.01, 0.0)
@@ -169,16 +169,16 @@
     assert max(waits) <= 1500
     assert min(waits) > 100
     plant.gate.record_migrated(200)
-    moved = sum(
+    migrated = sum(
         plant.gate.check_request("a", "checkin", f"m{n}", is_reconnect=True) is None for n in range(200)
     )
     new = sum(plant.gate.check_request("a", "checkin", f"m{n}") is None for n in range(200))
-    assert moved > new  # they were served already
+    assert migrated > new  # migrated clients take precedence over new ones
     storm = (
         sum(plant.gate.check_request("a", "checkin", f"s{n}", is_reconnect=True) is None for n in range(2000))
         / 10
     )
-    assert storm < moved
+    assert storm < migrated
 
 
 def test_tables_are_bounded() -> None:
@@ -198,11 +198,11 @@
         demand.record_request(f"t{n}", "c")
     for n in range(200):
         demand.update(float(n), 0.5, learn_usual=True)
-    assert not demand.rates  # all idle for long: there is room again
+    assert not demand.rates  # tenants that have been idle for long are removed
 
 
 class OverloadMachine(RuleBasedStateMachine):
-    """Any readings and requests: what must hold whatever comes."""
+    """Properties of the controller that must hold for any sequence of readings and requests."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -224,14 +224,14 @@
         self.calm_since = math.inf
         self.decided.clear()
 
-    @rule(looks=st.integers(1, 60))
-    def quiet(self, looks: int) -> None:
-        """All signals under their lower marks."""
+    @rule(count=st.integers(1, 60))
+    def quiet(self, count: int) -> None:
+        """Take this many readings with all signals below their low thresholds."""
         self.plant.memory_fraction = 0.0
-        for _ in range(looks):
-            self.plant.now += READING_SECONDS
+        for _ in range(count):
+            self.plant.now += READING_INTERVAL_SECONDS
             self.plant.read(0.0, 0.0, 0.0)
-            self.calm_since = min(self.calm_since, self.plant.now - READING_SECONDS)
+            self.calm_since = min(self.calm_since, self.plant.now - READING_INTERVAL_SECONDS)
         self.decided.clear()
 
     @rule(
@@ -249,7 +249,7 @@
 
     @invariant()
     def weight_comes_first(self) -> None:
-        """Until the next reading a level is shed only if nothing of a lower one is admitted."""
+        """Between two readings a class has rejections only if no class of lower weight is admitted."""
         for beyond in (False, True):
             high, low = (self.decided.get((beyond, cls), []) for cls in ("booking", "checkin"))
             if any(not is_admitted for _, is_admitted in high):
@@ -280,14 +280,14 @@
 def test_no_pressure_below_all_low_thresholds(values: list[tuple[float, ...]]) -> None:
     signals = LoadSignals()
     for n, (delay, cpu, memory, descriptors, backlog, queued) in enumerate(values):
-        low = {name: marks.low for name, marks in THRESHOLDS.items()}
+        low = {name: thresholds.low for name, thresholds in THRESHOLDS.items()}
         signals.update(Reading(n * 0.1, delay * low["delay"], cpu * low["cpu"], 0.0, memory * low["memory"], 0.0,
                              descriptors * low["descriptors"], backlog * low["backlog"], queued * low["queued"]))  # fmt: skip
         assert signals.pressure(n * 0.1)[0] == 0.0
-    assert signals.pressure(len(values) * 0.1 + 5.0)[0] == 0.0  # too old to say anything
+    assert signals.pressure(len(values) * 0.1 + 5.0)[0] == 0.0  # the signals are stale by then
 
 
-# The real program.
+# Tests with the real program.
 
 RULES = "default {}\n"
 LOAD = {"front": "line", "overload": {"cores": 1.0}, "sockets": 4096}
@@ -300,7 +300,7 @@
 
 
 async def crowd(it: Relay, count: int, values: bytes) -> list[bytes]:
-    """So many clients at once; the answer of each."""
+    """Connect this many clients at once; return the answer to each."""
 
     async def one(n: int) -> bytes:
         reader, writer = await it.open()
@@ -320,7 +320,7 @@
 
 
 def test_every_client_of_a_crowd_is_answered_and_console_calls_go_on(tmp_path: Path) -> None:
-    """300 clients come within a moment: each has UP, or BUSY with its own time; nobody is left without an answer."""
+    """Each of 300 simultaneous clients must receive UP, or BUSY with its own retry time."""
 
     async def test() -> None:
         async with ruled(tmp_path, RULES, GateServer(), GateServer(), **LOAD) as it:
@@ -344,7 +344,7 @@
         async with ruled(tmp_path, RULES, GateServer(), **LOAD) as it:
             assert await crowd(it, 5, b"c=checkin,t=acme,d=900") == [b"UP r1\r\n"] * 5
             it.process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(1.5)  # the pause itself is what is tested
+            await asyncio.sleep(1.5)  # the pause is the fault under test
             it.process.send_signal(signal.SIGCONT)
             async with asyncio.timeout(PATIENCE):
                 while float((await overload(it))["skipped"]) < 1:
@@ -360,7 +360,7 @@
     connections = [await it.open() for _ in range(29)]
     for number, connection in enumerate(connections):
         assert (await book(*connection, number)).startswith((b"UP", b"BUSY"))
-    # One that was BUSY, on a machine that paused, holds nothing.
+    # A connection rejected with BUSY, after a pause of the machine, uses no descriptor.
     async with asyncio.timeout(PATIENCE):
         while not (it.logged("load calm -> ") or it.logged("load cautious -> ")):
             connections.append(await it.open())
@@ -370,7 +370,7 @@
         while (await overload(it))["level"] not in ("shedding", "severe"):
             connections.append(await it.open())
             await book(*connections[-1], len(connections) - 1)
-    # The cause may be logged a moment after the level is seen.
+    # The log line with the cause may come shortly after the level change.
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(1.0):
             while not it.logged("by descriptors"):
@@ -380,14 +380,14 @@
 
 
 def test_descriptors_that_run_out_shed_load_and_the_level_is_logged(tmp_path: Path) -> None:
-    """A bound that a test can reach at will; the log tells each transition with its cause, and what was shed."""
+    """Descriptors are a limit that a test can reach reliably; the log must name them as the cause."""
 
     async def test() -> None:
         async with ruled(tmp_path, RULES, GateServer(), **(LOAD | {"sockets": 124})) as it:
             async with asyncio.timeout(3 * PATIENCE):
                 while not it.logged("by descriptors"):
                     await use_up_descriptors(it)
-                    # On a busy machine the level may have risen by another signal first: then once more.
+                    # On a busy machine another signal may have raised the level first: try again.
                     async with asyncio.timeout(PATIENCE):
                         while (await overload(it))["level"] != "calm":
                             await asyncio.sleep(0.02)
@@ -397,7 +397,7 @@
 
 
 def test_memory_over_its_limit_sheds_load(tmp_path: Path) -> None:
-    """The limit lies under what any relay holds: standing check-ins are moved before bookings; new ones are BUSY."""
+    """With a limit below any relay's memory use, check-ins are migrated first and new requests may get BUSY."""
 
     async def test() -> None:
         changed = LOAD | {"overload": {"cores": 1.0, "memory_mb": 8}}
@@ -424,9 +424,8 @@
                     await asyncio.sleep(0.02)
             answers: set[bytes] = set()
             n = 0
-            async with asyncio.timeout(
-                PATIENCE
-            ):  # a quick machine has 40 through before the gate's next look
+            # On a fast machine 40 clients may be admitted before the next reading.
+            async with asyncio.timeout(PATIENCE):
                 while n < 40 or answers == {b"PONG\r\n"}:
                     n += 1
                     reader, writer = await it.open()
--- a/violetdoor/overload/gate.py
+++ b/violetdoor/overload/gate.py
@@ -64,9 +64,7 @@
     max_retry_after: Callable[[], float]  # ms, from the current settings; 0 disables Retry-After
     clock: Callable[[], float] = time.monotonic
     rejections: Counter[RejectionKey] = field(default_factory=Counter)  # since the process started
-    recent_rejections: Counter[RejectionKey] = field(
-        default_factory=Counter
-    )  # since the last take_recent_rejections
+    recent_rejections: Counter[RejectionKey] = field(default_factory=Counter)  # since the last report
     recent_migrations: float = 0.0  # connections that were migrated or failed, decaying
     recent_reconnects: float = 0.0  # clients that announced a reconnect, decaying
     decayed_at: float = math.nan  # s, by `clock`
