--- a/violetdoor/rules/active_rules.py
+++ b/violetdoor/rules/active_rules.py
@@ -1,4 +1,4 @@
-"""The rules in force: asked for every request, replaced as a complete set."""
+"""The active rules: evaluated for every request, replaced as a complete set."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 log = logging.getLogger("violetdoor.rules")
 
-MAX_COUNTED_OUTCOMES = 256  # pools and labels that are counted by name; also rules that the console shows
-MAX_SHOWN_CLASS_LENGTH = 32  # characters of a class name that a rule made up
+MAX_COUNTED_OUTCOMES = 256  # pools and labels counted by name; also the rules listed on the console
+MAX_SHOWN_CLASS_LENGTH = 32  # characters shown of an unknown class name
 NS_PER_US = 1000
 
 
 class ActiveRules:
-    """Decides by the set in force; a request keeps the verdict that it was given."""
+    """Evaluates the active rule set; a reload does not change verdicts that were already given."""
 
     def __init__(self, counters: Counters, compiled: CompiledRules) -> None:
-        """Put a compiled set in force at once."""
+        """Activate a compiled set immediately."""
         self.counters = counters
         self.source: RulesSource = compiled.source
         self.rule_set: RuleSet = compiled.build()
         self.hits_by_rule: Counter[str] = Counter()
         self.hits_by_outcome: Counter[str] = Counter()  # by `pool NAME` and `label NAME=VALUE`
-        self._counted_failures = 0  # of the set in force
+        self._counted_failures = 0  # failures of the active set that are in `counters`
 
     @property
     def used_fields(self) -> frozenset[str]:
-        """The fields that the rules read; a front need not find out any other."""
+        """Request fields that the rules read; a front need not determine any other."""
         return self.rule_set.used
 
     async def replace(self, compiled: CompiledRules) -> None:
-        """Put another set in force, in one step once it is complete; built in small steps meanwhile."""
+        """Replace the active set; it is built in small steps and then activated in one."""
         rule_set = RuleSet(compiled.data)
         for _ in rule_set.install():
             await asyncio.sleep(0)
@@ -46,7 +46,7 @@
         self.hits_by_rule.clear()
         self.hits_by_outcome.clear()
         log.info(
-            "rules from %s in force: %d, up to %.0f us a request",
+            "activated rules from %s: %d rules, at most %.0f us per request",
             rule_set.origin,
             len(rule_set.names),
             rule_set.cost / NS_PER_US,
@@ -55,7 +55,7 @@
     def decide(self, request: Request, classes: Container[str]) -> Verdict:
         """Return the rules' verdict on a request.
 
-        A class that the site does not know counts as a failure of its rule.
+        A class that is not configured at this site counts as a failure of its rule.
         """
         rule_set = self.rule_set
         verdict = rule_set.decide(request)
@@ -74,10 +74,13 @@
         return verdict
 
     def _count_failures(self, rule_set: RuleSet) -> None:
-        """Count failures of rules; the first of a set is logged, since each request may bring another."""
+        """Count rule failures; only a set's first is logged, because every request may cause one."""
         self.counters["rules_failed"] += rule_set.failed - self._counted_failures
         if self._counted_failures == 0:
-            log.error("a rule failed, its request got the default: %s", rule_set.last_failure)
+            log.error(
+                "rule failed, using the default; later failures of this set are only counted: %s",
+                rule_set.last_failure,
+            )
         self._counted_failures = rule_set.failed
 
     def _count_outcome(self, name: str) -> None:
@@ -85,7 +88,7 @@
             self.hits_by_outcome[name] += 1
 
     def status_text(self) -> str:
-        """Return the set in force and what it has decided, a line each."""
+        """Return the console's status: the active set and its decisions, one value per line."""
         rule_set = self.rule_set
         lines = [
             f"rules {rule_set.origin}",
--- a/violetdoor/rules/compiler.py
+++ b/violetdoor/rules/compiler.py
@@ -1,4 +1,4 @@
-"""Compiles rules in a process of their own."""
+"""Compiles rules in a separate process."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 
 
 class RulesCompilationError(Exception):
-    """The rules do not compile; the text has a line for each fault."""
+    """The rules do not compile; the message has one line for each fault."""
 
 
 class CompilerTimeoutError(RulesCompilationError):
-    """The worker took too long."""
+    """The worker did not finish within the timeout."""
 
     def __init__(self) -> None:
-        """Name the timeout."""
-        super().__init__(f"the rules do not compile within {COMPILE_TIMEOUT_SECONDS:.0f} s")
+        """Set the message with the timeout."""
+        super().__init__(f"compilation of the rules did not finish within {COMPILE_TIMEOUT_SECONDS:.0f} s")
 
 
 class CompilerFailedError(RulesCompilationError):
-    """The worker ended without telling a fault of the rules."""
+    """The worker failed without reporting a fault in the rules."""
 
     def __init__(self, status: int, errors: str) -> None:
-        """Name the exit status and the last line of the standard error."""
-        super().__init__(f"the rules' compiler ended with status {status}: {errors.splitlines()[-1:]}")
+        """Set the message with the exit status and the last line of standard error."""
+        super().__init__(f"rules compiler failed with exit status {status}: {errors.splitlines()[-1:]}")
         self.status = status
         self.errors = errors
 
 
 def compile_blocking(source: RulesSource) -> CompiledRules:
-    """Compile and wait for it, in a process that serves nobody yet; raises RulesCompilationError."""
+    """Compile and block until done, before this process serves clients; raises RulesCompilationError."""
     try:
         completed = subprocess.run(
             WORKER_COMMAND,
@@ -52,7 +52,7 @@
 
 
 async def compile_in_background(source: RulesSource) -> CompiledRules:
-    """Compile while this process goes on serving; raises RulesCompilationError."""
+    """Compile without blocking the event loop; raises RulesCompilationError."""
     pipe = asyncio.subprocess.PIPE
     worker = await asyncio.create_subprocess_exec(*WORKER_COMMAND, stdin=pipe, stdout=pipe, stderr=pipe)
     try:
@@ -68,9 +68,11 @@
 
 
 def _parse_result(source: RulesSource, status: int, output: bytes, errors: bytes) -> CompiledRules:
-    """Return what the worker wrote; raises RulesCompilationError with the faults that it told."""
+    """Parse the worker's output; raises RulesCompilationError with the faults that it reported."""
     if status == 0:
-        result: WorkerOutput = marshal.loads(output)  # of a process of this program and this Python
+        result: WorkerOutput = marshal.loads(
+            output
+        )  # safe: written by this program under the same Python version
         return CompiledRules(replace(source, files=result["files"]), result["data"])
     text = errors.decode("utf-8", "replace").strip()
     if status != EXIT_INVALID_RULES or not text:
--- a/violetdoor/rules/schemas.py
+++ b/violetdoor/rules/schemas.py
@@ -1,4 +1,4 @@
-"""The fronts' schemas by name."""
+"""Lookup of the fronts' rule schemas."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def schema_of(front: str) -> Schema:
-    """Return the fields that rules can read of a front's requests; imports that front's module."""
+    """Return the request fields that rules of a front can read; imports the front's module."""
     schema = import_module(f"violetdoor.fronts.{front}.fields").SCHEMA
     assert isinstance(schema, Schema)
     return schema
--- a/violetdoor/rules/service.py
+++ b/violetdoor/rules/service.py
@@ -1,4 +1,4 @@
-"""Match rules as a service: compiled at the start and at each SIGHUP, replaced as a complete set."""
+"""Service for match rules: compiled at start and on each SIGHUP, replaced as a complete set."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def compile_initial(source: RulesSource) -> CompiledRules:
-    """Return the rules to start with; raises ConfigError with the first fault and how many more there are."""
+    """Compile the initial rules; raises ConfigError with the first fault and the number of others."""
     try:
         return compile_blocking(source)
     except RulesCompilationError as err:
@@ -27,31 +27,31 @@
 
 
 def _log_further_faults(text: str) -> None:
-    """Log all faults but the first, which the error of the configuration names."""
+    """Log all faults except the first, which is in the ConfigError."""
     for line in text.splitlines()[1:]:
-        log.error("rules: %s", line)
+        log.error("further fault in the rules: %s", line)
 
 
 class RulesService(Service):
-    """Keeps the rules in force; those to start with were compiled before the program started."""
+    """Holds the active rules; the initial ones were compiled before the program started."""
 
     def __init__(self, host: ServiceHost) -> None:
-        """Take the host's compiled rules over."""
+        """Activate the host's compiled rules."""
         assert host.compiled_rules is not None
         self.rules = host.rules = ActiveRules(host.counters, host.compiled_rules)
-        host.compiled_rules = None  # much memory, and of no use any more
+        host.compiled_rules = None  # frees memory: they are not used again
 
     def check_config(self, new: Config) -> None:
-        """Raise RestartRequiredError if a configuration has no rules."""
+        """Raise RestartRequiredError if the new configuration has no rules."""
         if new.rules is None:
             raise RestartRequiredError(FixedChange.RULES_PRESENCE)
 
     def needs_preparation(self, new: Config, *, from_peer: bool) -> bool:
-        """Whether rules are to be compiled: at every SIGHUP, which reads the files of sets again, too."""
+        """Return whether to compile rules: on every SIGHUP, since set files may have changed, too."""
         return new.rules is not None and not (from_peer and new.rules.has_same_rules(self.rules.source))
 
     async def prepare_config(self, new: Config, *, from_peer: bool) -> Config:
-        """Compile the rules and put them in force; raises ConfigError if they do not compile."""
+        """Compile and activate the new rules; raises ConfigError if they do not compile."""
         if new.rules is None or not self.needs_preparation(new, from_peer=from_peer):
             return new
         try:
--- a/violetdoor/rules/set_files.py
+++ b/violetdoor/rules/set_files.py
@@ -1,33 +1,33 @@
-"""Reads the files of named sets."""
+"""Reads the files that named sets are loaded from."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from pathlib import Path
 
-MAX_SET_FILES_BYTES = 64 << 20  # of one source's files together
+MAX_SET_FILES_BYTES = 64 << 20  # total for all files of one rules source
 BYTES_PER_MIB = 1 << 20
 
 
 class SetFilesTooLargeError(ValueError):
-    """The files of a source's sets are over the bound together."""
+    """The set files of one rules source exceed MAX_SET_FILES_BYTES in total."""
 
     def __init__(self) -> None:
-        """Name the bound."""
-        super().__init__(f"the sets' files are over {MAX_SET_FILES_BYTES // BYTES_PER_MIB} MiB together")
+        """Set the message with the limit."""
+        super().__init__(f"set files exceed the limit of {MAX_SET_FILES_BYTES // BYTES_PER_MIB} MiB in total")
 
 
 class SetFileReader:
-    """Reads each file once; `files` has the texts of all that were asked for, and of those known before."""
+    """Reads each file once; `files` holds the texts of the files read and of those given at the start."""
 
     def __init__(self, folder: Path, files: Mapping[str, str]) -> None:
-        """Read from a folder; `files` are known already, by name, and don't count towards the bound."""
+        """Read from a folder; `files` are already read, by name, and do not count towards the limit."""
         self.files = dict(files)
         self._folder = folder
         self._remaining_bytes = MAX_SET_FILES_BYTES
 
     def __call__(self, name: str) -> str:
-        """Return a file's text; raises OSError, and ValueError for too much or for what is not UTF-8."""
+        """Return a file's text; raises OSError, and ValueError above the limit or for invalid UTF-8."""
         if name not in self.files:
             with Path(self._folder, name).open("rb") as file:
                 data = file.read(self._remaining_bytes + 1)
--- a/violetdoor/rules/source.py
+++ b/violetdoor/rules/source.py
@@ -1,7 +1,7 @@
-"""What is compiled, and what comes of it.
+"""Input and output of the rules compiler.
 
-Rules are compiled in a process of their own: the serving one needs no grammar in its memory and its event
-loop waits for nothing while thousands of rules are read.
+Rules are compiled in a separate process: the relay does not need the grammar in memory, and its event loop is
+not blocked while thousands of rules are parsed.
 """
 
 from __future__ import annotations
@@ -14,39 +14,39 @@
 
 from violetdoor.match.runtime import RuleSet
 
-EXIT_INVALID_RULES = 2  # status of the worker: its standard error has a line for each fault
+EXIT_INVALID_RULES = 2  # exit status of the worker; its standard error has one line for each fault
 
 
 class WorkerOutput(TypedDict):
-    """What the worker writes, by marshal."""
+    """The worker's output, serialized with marshal."""
 
-    data: dict[str, Any]  # the compiled rules, as RuleSet takes them
-    files: dict[str, str]  # the sets' files that were read, by name
+    data: dict[str, Any]  # compiled rules, the argument of RuleSet
+    files: dict[str, str]  # texts of the set files that were read, by file name
 
 
 @dataclass(slots=True, frozen=True)
 class RulesSource:
-    """The text of a set of rules and everything that its compilation depends on.
+    """The text of a rule set and everything else that its compilation depends on.
 
-    The worker gets it as JSON, by the names of its fields.
+    It is sent to the worker as JSON with the names of these fields as keys.
     """
 
     front: str
     text: str
-    file: str  # as faults name it
-    folder: str  # where the sets' files are
+    file: str  # name shown in faults
+    folder: str  # of the set files
     classes: tuple[str, ...]
     limit_us: float
-    line: int = 1  # where the text begins in its file
+    line: int = 1  # position of the text in its file
     column: int = 1
-    files: Mapping[str, str] = field(default_factory=dict)  # sets' files that were read already, by name
+    files: Mapping[str, str] = field(default_factory=dict)  # texts of set files already read, by name
 
     def serialize(self) -> bytes:
-        """Return what the worker reads."""
+        """Return the worker's input."""
         return orjson.dumps(self)
 
     def has_same_rules(self, other: RulesSource) -> bool:
-        """Whether both compile to the same rules, wherever their text stands."""
+        """Return whether both compile to the same rules, ignoring where their texts are stored."""
         return self._without_location() == other._without_location()
 
     def _without_location(self) -> RulesSource:
@@ -55,11 +55,11 @@
 
 @dataclass(slots=True)
 class CompiledRules:
-    """A source, and what the worker made of it."""
+    """A rules source and the compiled rules."""
 
     source: RulesSource
-    data: dict[str, Any]  # as RuleSet takes it
+    data: dict[str, Any]  # argument of RuleSet
 
     def build(self) -> RuleSet:
-        """Return the set, ready to decide; takes its time all at once."""
+        """Build the rule set completely; blocks until done."""
         return RuleSet(self.data).ready()
--- a/violetdoor/rules/worker.py
+++ b/violetdoor/rules/worker.py
@@ -1,7 +1,7 @@
 """The program that compiles rules: `python -m violetdoor.rules.worker`.
 
-Reads a source, JSON, on its standard input. Writes the compiled rules, or one line for each fault on its
-standard error and ends with status 2.
+Reads a RulesSource as JSON from standard input and writes a WorkerOutput to standard output. If the rules are
+invalid, it writes one line for each fault to standard error and exits with status 2.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 
 class CompiledSource(NamedTuple):
-    """Compiled rules, and the sets' files that were read for them, by name."""
+    """Compiled rules and the texts of the set files that were read for them, by name."""
 
     loaded: Loaded
     files: dict[str, str]
 
 
 def compile_source(source: RulesSource) -> CompiledSource:
-    """Compile a source in this process; raises RulesError with all its faults."""
+    """Compile a source in this process; raises RulesError with all faults."""
     reader = SetFileReader(Path(source.folder), source.files)
     loader = Loader(
         schema_of(source.front),
@@ -43,7 +43,7 @@
 
 
 def main() -> int:
-    """Compile the source on standard input; return the exit status."""
+    """Compile the source from standard input; return the exit status."""
     fields = orjson.loads(sys.stdin.buffer.read())
     fields["classes"] = tuple(fields["classes"])
     try:
