--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Match rules in service: both fronts, a reload under load, an upgrade; the command line."""
+"""Match rules in a running relay: both fronts, reloads under load, upgrades; and the command line."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from violetdoor.rules.schemas import schema_of
 from violetdoor.rules.source import EXIT_INVALID_RULES
 
-# The modules of violetdoor.configuration that a relay of the platform's needs; the operator's forms, all checks
-# and the parser that finds places in files are not among them.
+# Modules of violetdoor.configuration that a relay with a platform configuration needs: not the operator's form,
+# the validation, or the parser that locates errors in files.
 PLATFORM_CONFIGURATION = {
     "completeness",
     "errors",
@@ -45,7 +45,7 @@
 
 
 def config(tmp_path: Path, rules: str, *servers: Standin, **changed: Any) -> Path:
-    """An operator's file with rules in a file beside it."""
+    """Write an operator's file and a rules file beside it; return the path of the former."""
     (tmp_path / "club.rules").write_text(rules)
     data = {"listen": "127.0.0.1:0", "console": "127.0.0.1:0", "retry_after_ms": 50, "classes": CLASSES,
             "rules": {"file": "club.rules"}, "servers": [{"addr": s.address} for s in servers]} | changed  # fmt: skip
@@ -64,7 +64,7 @@
 
 
 async def reload_rules(it: Relay, tmp_path: Path, rules: str, figure: str = "config_applied") -> None:
-    """Change the rules' file, send SIGHUP, wait until a figure tells that it was applied or rejected."""
+    """Change the rules file, send SIGHUP, and wait until this metric counts the reload."""
     before = (await it.figures())[figure]
     (tmp_path / "club.rules").write_text(rules)
     it.process.send_signal(signal.SIGHUP)
@@ -80,7 +80,7 @@
 
 
 def test_rules_classify_nats_clients(tmp_path: Path) -> None:
-    """By user, by first subject and header where known, by address; refused with a reason; else by the default."""
+    """Rules match on user, first subject, headers and address, or refuse with a reason; else the default applies."""
     rules = """
     rule "old" when connect.version starts_with "0." { refuse "too old, \\"upgrade\\""; }
     rule "subject" when first.subject fits "booking.>" { class = "booking"; label by = "subject"; }
@@ -109,7 +109,7 @@
             await header.flush()
             user = await Client.connect(it, user="app")
             await user.flush()
-            # What is no UTF-8, too long, or of a wrong type counts as missing.
+            # Values that are invalid UTF-8, too long, or of the wrong type count as missing.
             odd = await Client.connect(it, user="x" * 300, name=7, lang=None)
             odd.send(b"SUB \xff\xfe 1")
             await odd.flush()
@@ -124,7 +124,7 @@
 
 
 def test_rules_classify_line_requests(tmp_path: Path) -> None:
-    """Class and tenant by rule, the line itself unchanged; a refusal; a name that the site lacks falls to the default."""
+    """Rules set class and tenant without changing the line, or refuse; an unknown class falls back to the default."""
     rules = """
     rule "blocked" when open.tenant == "gone" { refuse "no partner any more"; }
     rule "extra" when open.extra["vip"] == "1" { class = "booking"; group = hash(open.group ?? "", 8); }
@@ -155,13 +155,13 @@
 
 
 def test_reload_under_load_replaces_the_complete_set_or_nothing(tmp_path: Path) -> None:
-    """While 200 requests wait for their servers: they keep what they were given, new ones get the new set."""
+    """200 requests waiting for servers keep their verdicts across a reload; new ones get the new set."""
 
     def rules(cls: str, extra: str = "") -> str:
-        many = "".join(
+        other_rules = "".join(
             f'rule "r{n}" when open.tenant == "t{n}" {{ class = "checkin"; }}\n' for n in range(300)
         )
-        return f'{many}rule "all" when open.tenant == "acme" {{ class = "{cls}"; }}\n{extra}default {{}}\n'
+        return f'{other_rules}rule "all" when open.tenant == "acme" {{ class = "{cls}"; }}\n{extra}default {{}}\n'
 
     async def test() -> None:
         server = GateServer(first=b"")
@@ -194,7 +194,7 @@
 
 
 def test_successor_starts_with_the_set_in_force(tmp_path: Path) -> None:
-    """Also with a set's file that is gone; and a reload at the one reaches the other."""
+    """Even if a set file no longer exists; and a reload in one process must reach the other."""
     rules = 'set known = strings from "known.txt";\nrule "known" when connect.user in known { class = "booking"; }\n'
     rules += 'default { class = "checkin"; }'
 
@@ -206,7 +206,7 @@
             (tmp_path / "club.rules").write_text("broken")
             async with relay("--config", str(tmp_path / "relay.json"), TMPDIR=str(tmp_path)) as new:
                 assert new.logged("took over from the predecessor")
-                await new.healthy()  # until then the old one may take the client
+                await new.healthy()  # until then the old process may accept the client
                 client = await Client.connect(new, user="app")
                 await client.flush()
                 assert await hits(new) == {"known": 1}
@@ -224,7 +224,7 @@
 
 
 def test_a_plain_run_imports_no_library_beside_its_four(tmp_path: Path) -> None:
-    """What serves the platform's clients needs no rules, no command line and no second front."""
+    """A relay with a platform configuration imports no rules, command line or second front."""
 
     async def test() -> None:
         async with (
@@ -235,20 +235,22 @@
             assert await read_line(reader) == b"UP r1\r\n"
             await it.counters()
             names = {text.rpartition("|")[2].strip() for text in it.lines if text.startswith("import time:")}
-            tops = {name.partition(".")[0] for name in names}
+            top_level = {name.partition(".")[0] for name in names}
             from importlib.metadata import packages_distributions
 
             libraries = {
                 "uvloop",
                 "orjson",
                 "msgspec",
-                "typing_extensions",
+                "typing_extensions",  # imported by msgspec
                 "httptools",
-            }  # the fourth is msgspec's
-            assert {n for n in tops & packages_distributions().keys() if n[0] != "_"} == libraries
-            ours = {n for n in names if n.startswith("violetdoor.")}
-            assert not [n for n in ours if n.split(".")[1] in ("match", "rules", "cli") or "nats" in n]
-            configuration = {n.rpartition(".")[2] for n in ours if n.startswith("violetdoor.configuration.")}
+            }
+            assert {n for n in top_level & packages_distributions().keys() if n[0] != "_"} == libraries
+            own_modules = {n for n in names if n.startswith("violetdoor.")}
+            assert not [n for n in own_modules if n.split(".")[1] in ("match", "rules", "cli") or "nats" in n]
+            configuration = {
+                n.rpartition(".")[2] for n in own_modules if n.startswith("violetdoor.configuration.")
+            }
             assert configuration == PLATFORM_CONFIGURATION
             assert not names & {"argparse", "tomllib", "secrets"}
 
@@ -296,28 +298,28 @@
     assert command("--help").returncode == 0
 
 
-# How fast data is drawn says nothing of the fields: on a busy machine that check alone failed.
+# Slow data generation says nothing about the fields, and that health check failed on a busy machine.
 @settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(st.binary(max_size=300), st.dictionaries(st.sampled_from(["user", "name", "lang", "version", "verbose"]),
                                                 st.none() | st.integers() | st.text(max_size=300)))  # fmt: skip
 def test_fields_of_a_request_are_bounded(raw: bytes, connect: dict[str, Any]) -> None:
-    """Guards against a client that makes the rules cost more than their bound."""
+    """Oversized fields from a client must not make rules cost more than their limit."""
     frame = Frame("HPUB", (raw, b"1", b"2"), raw, b"NATS/1.0\r\n" + raw)
     request = nats_fields.rule_request(connect, frame, ("::1%eth0", 1))
     for value, field in zip(request, nats_fields.SCHEMA.fields.values(), strict=True):
-        held = (
+        texts = (
             [*value, *value.values()]
             if isinstance(value, dict)
             else [value]
             if isinstance(value, str)
             else []
         )
-        assert all(len(v.encode()) <= field.size for v in held)
+        assert all(len(v.encode()) <= field.size for v in texts)
         assert not isinstance(value, dict) or len(value) <= field.most
 
 
 def test_examples_of_the_reference_page_are_true() -> None:
-    """Each example of the page loads, and gives what the page says."""
+    """Each example on the page must compile and produce the result that the page states."""
     page = (ROOT / "docs" / "operators" / "rules.md").read_text()
     blocks = re.findall(r"```rules (\w+)\n(.*?)```", page, re.S)
     assert len(blocks) >= 3
@@ -337,8 +339,8 @@
 
 
 def test_worker_reports_each_fault_on_a_line() -> None:
-    order = {"front": "nats", "text": "rule", "file": "f", "folder": ".", "classes": [], "limit_us": 250.0}
-    done = subprocess.run([sys.executable, "-m", "violetdoor.rules.worker"], input=json.dumps(order).encode(),
+    source = {"front": "nats", "text": "rule", "file": "f", "folder": ".", "classes": [], "limit_us": 250.0}
+    done = subprocess.run([sys.executable, "-m", "violetdoor.rules.worker"], input=json.dumps(source).encode(),
                           capture_output=True, check=False, timeout=60)  # fmt: skip
     assert done.returncode == EXIT_INVALID_RULES == 2
     assert b"f:1:" in done.stderr
