--- a/violetdoor/upgrade/balancer_state.py
+++ b/violetdoor/upgrade/balancer_state.py
@@ -1,4 +1,4 @@
-"""The decision module's state in an upgrade's snapshot: from its own types to the snapshot's and back."""
+"""Conversion of the decision module's state to and from the types of an upgrade's snapshot."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def endpoint_snapshot(entry: ServerEntry) -> EndpointSnapshot:
-    """Return one line of the server list as the snapshot has it."""
+    """Convert a server list entry to its snapshot form."""
     return EndpointSnapshot(
         name=entry.name,
         zone=entry.zone,
@@ -20,7 +20,7 @@
 
 
 def server_entry(endpoint: EndpointSnapshot) -> ServerEntry:
-    """Return a snapshot's server as a line of the server list; ValueError for a state that does not exist."""
+    """Convert a snapshot's server to a server list entry; raises ValueError for an unknown state."""
     return ServerEntry(
         name=endpoint.name,
         zone=endpoint.zone,
@@ -33,7 +33,7 @@
 
 
 def learned_snapshot(learned: LearnedState) -> LearnedSnapshot:
-    """Return what the decision module has learned as the snapshot has it."""
+    """Convert the decision module's learned state to its snapshot form."""
     servers = tuple(
         LearnedServerSnapshot(
             name=server.name,
@@ -56,7 +56,7 @@
 
 
 def learned_state(snapshot: LearnedSnapshot) -> LearnedState:
-    """Return what the predecessor had learned; its server list is handed over beside it."""
+    """Convert a snapshot to the learned state; the server list is handed over separately."""
     servers = tuple(
         LearnedServerState(
             name=server.name,
--- a/violetdoor/upgrade/messages.py
+++ b/violetdoor/upgrade/messages.py
@@ -1,8 +1,8 @@
-"""Messages between the two processes of one relay during an upgrade: each one JSON object in a line.
+"""Messages between the two processes of one relay during an upgrade, each one JSON object per line.
 
-Every process of a relay may meet one of an older or newer version, so the names and the order of the keys
-stay as they are. Fields that are named differently here carry the wire's name. orjson writes the lines:
-msgspec's own encoder would write some floats differently.
+The other process may run an older or newer version, so the names and the order of the keys must not change.
+Fields whose names differ from their keys declare the key. Lines are encoded with orjson, because the encoder
+of msgspec would write some floats differently.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 import orjson
 from msgspec import UNSET, Struct, UnsetType, field
 
-# Discovery's list names these values, and nobody checks their types: they are copied as they are.
+# Values from discovery's list whose types are not validated; they are copied unchanged.
 Unchecked = Any
 
 
 class EndpointSnapshot(Struct):
-    """One server of the endpoint list."""
+    """One server of the server list."""
 
     name: str = field(name="server")
     zone: Unchecked
     machine_type: Unchecked = field(name="kind")
     cell: Unchecked
-    state: str  # value of the decision module's ServerState
+    state: str  # a value of ServerState
     weight: float
     started_at_ms: float = field(name="started")  # Unix time
 
 
 class LearnedServerSnapshot(Struct):
-    """What the decision module has learned of one server; None where nothing is known."""
+    """The decision module's learned state for one server; unknown values are None."""
 
     name: str = field(name="server")
-    started_at_ms: float = field(name="started")  # Unix time; of the incarnation that this holds for
+    started_at_ms: float = field(name="started")  # Unix time; of the incarnation that was measured
     load: float | None
     reported_at_ms: float | None = field(name="report_at")
     health: float
@@ -41,8 +41,8 @@
     min_health_check_ms: float | None = field(name="quick")
 
 
-class RememberedList(Struct):
-    """An empty endpoint list. Older versions write it; nobody reads it."""
+class LegacyServerList(Struct):
+    """An empty server list, written for compatibility with older versions; nothing reads it."""
 
     kind: str = "remembered"
     entries: tuple[EndpointSnapshot, ...] = ()
@@ -51,56 +51,56 @@
 
 
 class LearnedSnapshot(Struct):
-    """What the decision module has learned; an infinite value is written as null."""
+    """The decision module's learned state; infinite values are written as null."""
 
     fleet_load: float | None = field(name="fleet", default=None)
     load_per_weight: float | None = field(name="unit", default=None)
     min_setup_ms: float | None = field(name="quickest", default=None)
     timeout_fraction: float = field(name="late", default=0.0)
     servers: tuple[LearnedServerSnapshot, ...] = ()
-    listed: RememberedList = field(default_factory=RememberedList)
+    listed: LegacyServerList = field(default_factory=LegacyServerList)
 
 
 class RelaySnapshot(Struct):
-    """All that a process needs to continue where its predecessor is; every service fills in its own part."""
+    """State with which a process continues its predecessor's work; each service fills in its part."""
 
-    config: str  # the configuration in force, as JSON
-    bans: dict[str, float] = {}  # Unix time in ms since when, by server
-    returned: dict[str, tuple[float, float]] = {}  # Unix times in ms of ban and return, by server
-    named: list[str] = []  # every server that a list has named
+    config: str  # active configuration, as JSON
+    bans: dict[str, float] = {}  # start of the ban (Unix time in ms), by server
+    returned: dict[str, tuple[float, float]] = {}  # times of ban and reinstatement (Unix, ms), by server
+    named: list[str] = []  # names of all servers that any server list has contained
     entries: list[EndpointSnapshot] = []
     addresses: dict[str, tuple[str, int]] = {}
-    version: int | None = None  # of the endpoint list
-    # Start (Unix time in ms) of each incarnation that announced its shutdown; older versions write none.
+    version: int | None = None  # of the server list
+    # Servers that announced their shutdown, with their start (Unix time in ms); older versions write none.
     draining: dict[str, float] = {}
     knowledge: LearnedSnapshot = field(default_factory=LearnedSnapshot)
-    ids: list[str] = []  # request ids that no new connection may use, in hexadecimal
-    sockets: list[str] = []  # names of the sockets whose descriptors come with this, behind the listener's
+    ids: list[str] = []  # request ids, in hexadecimal, that new connections must not use
+    sockets: list[str] = []  # names of the sockets whose descriptors follow the listener's
 
 
 class Hello(Struct):
-    """Ask for the snapshot: sent by a process that starts."""
+    """Request the snapshot; sent by a starting process."""
 
     hello: bool = True
 
 
 class Accepting(Struct):
-    """The sender accepts clients now: the receiver is to stop."""
+    """The sender accepts clients from now on, so the receiver must stop accepting."""
 
     accepting: bool = True
 
 
 class Stopped(Struct):
-    """The sender accepts no more clients."""
+    """The sender no longer accepts clients."""
 
     stopped: bool = True
 
 
 class ServerBan(Struct, array_like=True):
-    """A ban of one server, since a Unix time in ms."""
+    """A ban of one server."""
 
     server: str
-    since: float
+    since: float  # Unix time in ms
 
 
 class ServerBanned(Struct):
@@ -116,36 +116,36 @@
 
 
 class ConfigurationChanged(Struct):
-    """The sender applied a configuration, given as JSON."""
+    """The sender applied a configuration."""
 
-    config: str
+    config: str  # JSON
 
 
 class FleetMembership(Struct):
-    """The receiver is the relay's fleet member from now on; the state is msgpack in base 85."""
+    """The receiver takes over the relay's fleet membership; `state` is msgpack in base 85."""
 
     state: str = field(name="fleet")
 
 
 class ControlAttachment(Struct):
-    """The receiver has the relay's control session from now on; the state is msgpack in base 85."""
+    """The receiver takes over the relay's control session; `state` is msgpack in base 85."""
 
     state: str = field(name="control")
 
 
 class ResourceUsage(Struct):
-    """What one process of the relay still holds."""
+    """Resources that one process of the relay still uses."""
 
-    held: dict[str, tuple[float, int]] = {}  # load and number of the open connections, by server
+    held: dict[str, tuple[float, int]] = {}  # load and number of open connections, by server
     descriptors: int = 0
     memory: int = 0  # bytes
 
 
 class UsageReport(Struct):
-    """What the sender still holds, reported regularly to its successor."""
+    """Resources that the sender still uses, reported regularly to its successor."""
 
     resources: ResourceUsage | UnsetType = field(name="beside", default=UNSET)
-    ids: list[str] | UnsetType = UNSET  # request ids that were not reported before, in hexadecimal
+    ids: list[str] | UnsetType = UNSET  # request ids not yet reported, in hexadecimal
 
 
 Message = (
@@ -160,7 +160,7 @@
     | UsageReport
 )
 
-# The first of these keys that a message has says which one it is.
+# Message type by key: the first of these keys that is present determines the type.
 _TYPE_BY_KEY: dict[str, type[Message]] = {
     "hello": Hello,
     "accepting": Accepting,
@@ -181,7 +181,7 @@
 
 
 def decode_message(line: bytes | bytearray) -> Message | None:
-    """Decode a message; None for one that this version does not know. Raises ValueError if it is not JSON."""
+    """Decode a message; return None for an unknown or invalid one. Raises ValueError for invalid JSON."""
     values = orjson.loads(line)
     if not isinstance(values, dict):
         return None
@@ -195,5 +195,5 @@
 
 
 def decode_snapshot(line: bytes) -> RelaySnapshot:
-    """Decode a snapshot. Raises ValueError if it is not JSON or not a snapshot."""
+    """Decode a snapshot. Raises ValueError for invalid JSON or an invalid snapshot."""
     return msgspec.convert(orjson.loads(line), type=RelaySnapshot)
