--- a/violetdoor/upgrade/__init__.py
+++ b/violetdoor/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""Upgrades: how two processes of one relay meet, and what each service hands over to the next."""
+"""Upgrades: how a new process of a relay takes over sockets and state from the running one."""
--- a/violetdoor/upgrade/handover.py
+++ b/violetdoor/upgrade/handover.py
@@ -1,4 +1,4 @@
-"""One relay, two processes for a while: this one's part toward its predecessor and its successor."""
+"""Handover between two processes of one relay: this process's side towards predecessor and successor."""
 
 from __future__ import annotations
 
@@ -27,122 +27,124 @@
 
 log = logging.getLogger("violetdoor.handover")
 
-STOP_TIMEOUT_SECONDS = 0.5  # for a predecessor to stop accepting; then it counts as stopped
-USAGE_REPORT_INTERVAL_SECONDS = 0.2  # between two reports of what the old process still holds
-MEETING_BACKLOG = 2  # successors that wait for an answer
+STOP_TIMEOUT_SECONDS = 0.5  # after this, a predecessor is assumed to have stopped accepting
+USAGE_REPORT_INTERVAL_SECONDS = 0.2  # between two reports on the old process's resources
+HANDOVER_BACKLOG = 2  # successors in the listen queue of the handover socket
 
 
 class HandoverHost(Protocol):
-    """What the program gives to the other process, and does as that one speaks or goes."""
+    """Interface of the program: state for the other process, and reactions to its messages and end."""
 
     def snapshot(self) -> RelaySnapshot:
-        """Return all that a process needs to continue where this one is."""
+        """Return the state with which a successor can continue this process's work."""
 
     def shared_sockets(self) -> dict[str, socket.socket]:
-        """Return the sockets, by name, whose descriptors a successor gets beside the listener's."""
+        """Return the sockets, by name, that are handed to a successor in addition to the listener."""
 
     def usage_report(self) -> UsageReport:
-        """Return what this process still holds."""
+        """Return the resources that this process still uses."""
 
     def on_message(self, message: Message) -> None:
-        """Handle a message that is not about the handover itself."""
+        """Handle a message that does not concern the handover itself."""
 
     def on_successor_accepting(self) -> None:
         """Stop accepting: a successor accepts this relay's clients."""
 
     def on_successor_lost(self) -> None:
-        """Accept again: the successor is gone."""
+        """Resume accepting: the successor has ended."""
 
 
 @dataclass(slots=True)
 class Handover:
-    """Meets the processes before and after this one."""
+    """Connects to the predecessor and accepts connections from successors."""
 
     handover_socket_path: Path
     program: HandoverHost
     listener: socket.socket
-    peers: set[PeerProcess] = field(default_factory=set)  # that follow this process's state
+    peers: set[PeerProcess] = field(default_factory=set)  # processes that are sent state changes
     successor: PeerProcess | None = None
     predecessor: PeerProcess | None = None
-    is_takeover_complete: bool = True  # no predecessor accepts any more, as far as that can be known
+    is_takeover_complete: bool = True  # no predecessor accepts clients, or it is assumed to have stopped
 
     def broadcast(self, message: Message) -> None:
-        """Send a change to the other process, if there is one."""
+        """Send a state change to the connected processes, if any."""
         for peer in self.peers:
             peer.send(message)
 
     def announce_takeover(self, inherited: InheritedState) -> None:
-        """Tell the predecessor that this process accepts now, with all that it handed over."""
+        """Notify the predecessor that this process now accepts clients with the inherited state."""
         self.is_takeover_complete = False
-        asyncio.get_running_loop().call_later(STOP_TIMEOUT_SECONDS, self._settle)
+        asyncio.get_running_loop().call_later(STOP_TIMEOUT_SECONDS, self._assume_stopped)
         self.predecessor = PeerProcess(inherited.connection, inherited.unread)
         self.peers.add(self.predecessor)
         self.predecessor.send(Accepting())
 
-    def _settle(self) -> None:
+    def _assume_stopped(self) -> None:
         self.is_takeover_complete = True
 
     async def run(self) -> None:
-        """Talk to the predecessor if there is one, and wait for successors."""
+        """Serve the connection to the predecessor, if any, and accept successors."""
         async with asyncio.TaskGroup() as group:
             if self.predecessor is not None:
-                group.create_task(self._talk_to(self.predecessor))
+                group.create_task(self._serve_peer(self.predecessor))
             group.create_task(self._report_usage())
-            await self._wait_for_successors(group)
+            await self._accept_successors(group)
 
-    async def _wait_for_successors(self, group: asyncio.TaskGroup) -> None:
-        meeting = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    async def _accept_successors(self, group: asyncio.TaskGroup) -> None:
+        handover_listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             try:
-                meeting.bind(str(self._own_path()))
-                meeting.listen(MEETING_BACKLOG)
-                meeting.setblocking(False)
-                self._publish_own_path()
+                handover_listener.bind(str(self._process_socket_path()))
+                handover_listener.listen(HANDOVER_BACKLOG)
+                handover_listener.setblocking(False)
+                self._publish_socket_path()
             except OSError as err:
                 log.error("cannot listen for a successor: %s", err)
                 return
             while True:
-                await wait_readable(meeting)
+                await wait_readable(handover_listener)
                 with contextlib.suppress(OSError):
-                    sock, _ = meeting.accept()
+                    sock, _ = handover_listener.accept()
                     sock.setblocking(False)
-                    group.create_task(self._talk_to(PeerProcess(sock)))
+                    group.create_task(self._serve_peer(PeerProcess(sock)))
         finally:
-            meeting.close()
-            self._own_path().unlink(missing_ok=True)
+            handover_listener.close()
+            self._process_socket_path().unlink(missing_ok=True)
 
-    def _own_path(self) -> Path:
+    def _process_socket_path(self) -> Path:
         return self.handover_socket_path.with_suffix(f".{os.getpid()}")
 
-    def _publish_own_path(self) -> None:
-        """Point the common name to this process, in one step: it replaces a stale one."""
+    def _publish_socket_path(self) -> None:
+        """Atomically point the common path to this process's socket, replacing a stale link."""
         link = self.handover_socket_path.with_suffix(f".{os.getpid()}.link")
         link.unlink(missing_ok=True)
-        link.symlink_to(self._own_path().name)
+        link.symlink_to(self._process_socket_path().name)
         link.replace(self.handover_socket_path)
 
-    async def _talk_to(self, peer: PeerProcess) -> None:
-        """Talk to one process until its connection ends."""
+    async def _serve_peer(self, peer: PeerProcess) -> None:
+        """Handle messages from one process until its connection closes."""
         try:
             async for message in peer.messages():
                 self._handle(message, peer)
         except (OSError, ValueError) as err:
-            log.warning("peer process: %s %s", type(err).__name__, err)
-        except Exception:  # what it says must not end this process
-            log.exception("a message of the peer process could not be handled")
+            log.warning(
+                "connection to the other process of this relay failed: %s: %s", type(err).__name__, err
+            )
+        except Exception:  # a faulty message must not end this process
+            log.exception("failed to handle a message from the other process; closing its connection")
         finally:
             self.peers.discard(peer)
             await peer.close()
         if peer is self.successor:
             self.successor = None
-            log.warning("the successor is gone: this process accepts again")
+            log.warning("successor closed its connection: this process accepts again")
             self.program.on_successor_lost()
             with contextlib.suppress(OSError):
-                self._publish_own_path()
+                self._publish_socket_path()
         elif peer is self.predecessor:
             self.is_takeover_complete = True
             self.program.on_message(UsageReport(ResourceUsage()))
-            log.info("the predecessor is gone")
+            log.info("predecessor closed its connection: its connections and memory no longer count")
 
     def _handle(self, message: Message, peer: PeerProcess) -> None:
         match message:
@@ -152,14 +154,14 @@
                 self.successor = peer
                 self.program.on_successor_accepting()
                 peer.send(Stopped())
-                log.info("the successor took over: this process accepts no more")
+                log.info("successor took over: this process no longer accepts clients")
             case Stopped():
                 self.is_takeover_complete = True
             case _:
                 self.program.on_message(message)
 
     def _send_snapshot(self, peer: PeerProcess) -> None:
-        """Send the snapshot; descriptors go with its first byte. Changes follow it in order."""
+        """Send the snapshot, with the descriptors on its first byte; state changes follow in order."""
         sockets = self.program.shared_sockets()
         snapshot = self.program.snapshot()
         snapshot.sockets = list(sockets)
--- a/violetdoor/upgrade/peer_process.py
+++ b/violetdoor/upgrade/peer_process.py
@@ -1,4 +1,4 @@
-"""The connection between two processes of one relay."""
+"""Connection between two processes of one relay."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 from violetdoor.upgrade.messages import Message, decode_message, encode_line
 
 MAX_MESSAGE_BYTES = 16 << 20  # the configuration may hold rules with large sets
-STALL_TIMEOUT_SECONDS = 2.0  # for which the other process may read nothing
-CHUNK_BYTES = 64 * 1024  # of one read
+STALL_TIMEOUT_SECONDS = 2.0  # maximum time for which the other process may read nothing
+READ_CHUNK_BYTES = 64 * 1024
 
 
 class PeerProcess:
-    """The other process: messages both ways, each one JSON object in a line."""
+    """The other process of the relay; messages in both directions are one JSON object per line."""
 
     def __init__(self, sock: socket.socket, unread: bytes = b"") -> None:
-        """Talk over a socket that does not block; `unread` came from it already."""
+        """Use a non-blocking socket; `unread` are bytes that were already received from it."""
         self.sock = sock
         self.unread = unread
         self.outbox = Outbox(sock, MAX_MESSAGE_BYTES, STALL_TIMEOUT_SECONDS)
 
     def send(self, message: Message) -> None:
-        """Send a message; dropped where the other process reads nothing any more."""
+        """Send a message; it is dropped if the send queue is full because the other process stalls."""
         if not self.outbox.is_full:
             self.outbox.enqueue(encode_line(message))
 
     async def messages(self) -> AsyncIterator[Message]:
         """Receive messages until the other process closes the connection.
 
-        Raises OSError, and ValueError for a line that is not JSON.
+        Raises OSError, and ValueError for a line with invalid JSON.
         """
         loop = asyncio.get_running_loop()
         data = bytearray(self.unread)
-        buffer = bytearray(CHUNK_BYTES)
+        buffer = bytearray(READ_CHUNK_BYTES)
         while True:
             end = data.find(b"\n")
             while end >= 0:
--- a/violetdoor/upgrade/service.py
+++ b/violetdoor/upgrade/service.py
@@ -1,4 +1,4 @@
-"""An upgrade as a service: what the two processes exchange, collected from every service."""
+"""Service for upgrades: exchanges the state of all services with the other process."""
 
 from __future__ import annotations
 
@@ -16,68 +16,68 @@
 
 
 class UpgradeService(Service):
-    """Takes over from this relay's previous process, and hands over to the next one."""
+    """Takes over from the relay's previous process and hands over to the next one."""
 
     def __init__(
         self, host: ServiceHost, handover_socket_path: Path, inherited: InheritedState | None
     ) -> None:
-        """Meet other processes at this path; `inherited` is what a predecessor handed over."""
+        """Hand over at this socket path; `inherited` is the state of a predecessor, if any."""
         self.host = host
         self.inherited = inherited
         self.handover = Handover(handover_socket_path, self, host.front.acceptor.sock)
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Tell the predecessor that this process accepts, and wait for a successor."""
-        await asyncio.sleep(0)  # the front accepts from here on
+        """Notify the predecessor that this process accepts clients, and wait for a successor."""
+        await asyncio.sleep(0)  # lets the front start to accept
         if self.inherited is not None:
             self.on_message(UsageReport(ids=self.inherited.snapshot.ids))
             self.handover.announce_takeover(self.inherited)
             server_count = len(self.host.core.endpoints.entries)
-            log.info("took over from the predecessor: %d servers known", server_count)
+            log.info("took over from the predecessor with %d servers in the server list", server_count)
         self.task = asyncio.get_running_loop().create_task(self.handover.run())
 
     async def stop(self) -> None:
-        """End the connections to other processes."""
+        """Close the connections to other processes."""
         if self.task is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
 
     def snapshot(self) -> RelaySnapshot:
-        """Return all that a process needs to continue where this one is."""
+        """Return the state with which a successor can continue this process's work."""
         snapshot = RelaySnapshot(config=self.host.config.serialized.decode())
         for service in self._others():
             service.fill_snapshot(snapshot)
         return snapshot
 
     def shared_sockets(self) -> dict[str, socket.socket]:
-        """Return all services' sockets whose descriptors a successor gets."""
+        """Return the sockets of all services that are handed to a successor, by name."""
         shared: dict[str, socket.socket] = {}
         for service in self._others():
             shared |= service.shared_sockets()
         return shared
 
     def usage_report(self) -> UsageReport:
-        """Return what this process still holds."""
+        """Return the resources that this process still uses."""
         report = UsageReport()
         for service in self._others():
             service.fill_usage_report(report)
         return report
 
     def on_message(self, message: Message) -> None:
-        """Pass a message to every service, and apply a configuration."""
+        """Pass a message to every service, and apply a changed configuration."""
         for service in self._others():
             service.on_message(message)
         if isinstance(message, ConfigurationChanged):
             self.host.apply_peer_config(message.config.encode())
 
     def on_successor_accepting(self) -> None:
-        """Pass it to every service."""
+        """Notify every service that the successor accepts clients."""
         for service in self._others():
             service.on_successor_accepting()
 
     def on_successor_lost(self) -> None:
-        """Pass it to every service."""
+        """Notify every service that the successor has ended."""
         for service in self._others():
             service.on_successor_lost()
 
