--- a/tests/test_recorded_upgrade.py
+++ b/tests/test_recorded_upgrade.py
@@ -1,7 +1,7 @@
-"""What two processes of one relay say to each other in an upgrade: the bytes of revision 300e9a1.
+"""Compatibility of the messages between two processes of one relay in an upgrade with revision 300e9a1.
 
-The predecessor's part is recorded from real exchanges over the meeting socket; the successor is fed the
-recorded bytes by a stand-in, and has to hand the same state on.
+The predecessor's messages are recorded from real exchanges over the handover socket. A stand-in sends the
+recorded bytes to a successor, which must hand over the same state.
 """
 
 from __future__ import annotations
@@ -51,11 +51,11 @@
 
 RECORDED = Path(__file__).parent / "recorded" / "upgrade.json"
 NOW = 1_754_000_000_000.25
-FORMS = ("line", "nats")
+FRONTS = ("line", "nats")
 
 
 def fleet_state() -> HandoverState:
-    """What makes a relay the member that it is; views are recorded with the fleet's messages."""
+    """Return a fleet member's handover state without views, which are recorded with the fleet's messages."""
     return HandoverState(
         process=101, local_peer=Peer("n1", 102, "127.0.0.7", 7103, "za", 104, 105), state="member", started_at=106.5,
         durable_state=None, latest_view=None, last_epoch=107, last_seq=108,
@@ -72,7 +72,7 @@
 
 
 def control_state() -> AttachmentSnapshot:
-    """What makes a relay's session at its control machines the run that it is."""
+    """Return the state of a relay's session with its control machines."""
     return AttachmentSnapshot(
         instance=201, attempt=202, version=Version(203, 204, 205), complete_since=Version(206, 207, 208),
         settled=Version(209, 210, 211), members=(Relay("n1", 212, "127.0.0.8", 7213, "zb"),),
@@ -82,8 +82,8 @@
     )  # fmt: skip
 
 
-def form(front: str) -> dict[str, Any]:
-    """An operator's file: a relay of a fleet with the line front, an attached one with that of NATS."""
+def operator_file(front: str) -> dict[str, Any]:
+    """Return an operator's file: a fleet member for the line front, an attached relay for the NATS front."""
     fleet = {"listen": "127.0.0.1:0", "founders": ["n1"]}
     attached = {"region": "east", "control": ["127.0.0.1:9"]}
     return {
@@ -99,16 +99,16 @@
 
 
 class Process:
-    """One of the two processes, on a clock that stands still: nothing that it knows changes by itself."""
+    """One of the two processes, with a fixed clock, so that its state does not change by itself."""
 
     def __init__(self, folder: Path, front: str, inherited: InheritedState | None = None) -> None:
         path = folder / "relay.json"
-        path.write_bytes(orjson.dumps(form(front)))
+        path.write_bytes(orjson.dumps(operator_file(front)))
         (folder / "key").write_bytes(b"k" * 32)
         source = OperatorConfigSource(path)
         config = source.load(inherited.snapshot.config.encode() if inherited else b"")
-        self.meet = folder / "meet.sock"
-        self.program = program = Program(config, source, RepeatedLineFilter(), self.meet, inherited)
+        self.handover_path = folder / "meet.sock"
+        self.program = program = Program(config, source, RepeatedLineFilter(), self.handover_path, inherited)
         program.core = self.core = Controller(
             config.settings, 7, lambda: NOW, reports_message_delay=config.reports_message_delay
         )
@@ -120,11 +120,11 @@
         program.services += [one for one in (self.fleet, self.control) if one is not None]
         self.line = LineService(program) if front == "line" else None
         program.front = self.line or NatsService(program)
-        self.upgrade = program.upgrade = UpgradeService(program, self.meet, inherited)
+        self.upgrade = program.upgrade = UpgradeService(program, self.handover_path, inherited)
         program.services += [program.front, self.upgrade]
 
     def fill(self) -> None:
-        """Give it a state whose values are all different."""
+        """Set a state in which all values differ from each other."""
         core, directory = self.core, self.program.directory
         ready, draining = ServerState.READY, ServerState.DRAINING
         first = ServerEntry(
@@ -183,55 +183,55 @@
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Talk to the other process, and take no client."""
+        """Run the upgrade service without accepting clients."""
         await self.upgrade.start()
         try:
-            await until(self.meet.exists)
+            await until(self.handover_path.exists)
             yield
         finally:
             await self.upgrade.stop()
             self.program.front.acceptor.sock.close()
 
 
-def masked(line: bytes) -> str:
-    """A message without this process's memory."""
+def without_memory_use(line: bytes) -> str:
+    """Return a message with this process's memory use replaced by 0."""
     return re.sub(r'"memory":[\d.]+', '"memory":0', line.decode())
 
 
-class Other:
-    """The other end of the talk, spoken by hand."""
+class PeerStandIn:
+    """Stand-in for the other process, which sends and receives single lines."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.descriptors = sock, list[socket.socket]()
         self.data = b""
         sock.settimeout(10.0)
 
-    async def say(self, line: str) -> None:
+    async def send(self, line: str) -> None:
         await asyncio.to_thread(self.sock.sendall, line.encode())
 
     async def line(self) -> str:
-        """The next message, and what came with it."""
+        """Receive the next message and the descriptors that come with it."""
         while b"\n" not in self.data:
             data, descriptors, _, _ = await asyncio.to_thread(socket.recv_fds, self.sock, 65_536, 8)
             assert data, f"the other process ended after {self.data!r}"
             self.data += data
             self.descriptors += [socket.socket(fileno=number) for number in descriptors]
         line, _, self.data = self.data.partition(b"\n")
-        return masked(line + b"\n")
+        return without_memory_use(line + b"\n")
 
     def close(self) -> None:
         for sock in (self.sock, *self.descriptors):
             sock.close()
 
 
-async def successor_of(process: Process) -> Other:
+async def successor_of(process: Process) -> PeerStandIn:
     sock = socket.socket(socket.AF_UNIX)
-    sock.connect(str(process.meet))
-    return Other(sock)
+    sock.connect(str(process.handover_path))
+    return PeerStandIn(sock)
 
 
 def hand_over_samples(process: Process) -> list[socket.socket]:
-    """Let fleet and control give the samples; the sockets that a member of a fleet shares."""
+    """Make the fleet or control service hand over sample state; return the fleet's shared sockets."""
     if process.fleet is not None:
         fleet = process.fleet.endpoint
         fleet.hand_over = fleet_state  # type: ignore[method-assign]
@@ -244,45 +244,45 @@
 
 
 async def predecessor(folder: Path, front: str) -> dict[str, str]:
-    """All that the process that serves says to the one that takes over, by what made it say so."""
+    """Return all messages of a predecessor to its successor, by the event that caused each."""
     process = Process(folder, front)
     process.fill()
     shared = hand_over_samples(process)
-    said: dict[str, str] = {}
+    messages: dict[str, str] = {}
     async with process.running():
         other = await successor_of(process)
-        await other.say('{"hello":true}\n')
-        said["state"] = await other.line()
+        await other.send('{"hello":true}\n')
+        messages["state"] = await other.line()
         assert len(other.descriptors) == 1 + len(shared)
         assert process.maintenance.ban("s-3", 81.5)
-        said["ban"] = await other.line()
+        messages["ban"] = await other.line()
         assert process.maintenance.lift_ban("s-1")
-        said["lift"] = await other.line()
+        messages["lift"] = await other.line()
         config = process.program.config
         changed = orjson.dumps(orjson.loads(config.serialized) | {"retry_after_ms": 432.5})
         source: Any = process.program.reloader.source
         source.reload = lambda: replace(config, serialized=changed)
         process.program.reloader.reload()
-        said["config"] = await other.line()
-        await other.say('{"accepting":true}\n')
-        said["member"] = await other.line()
-        said["stopped"] = await other.line()
+        messages["config"] = await other.line()
+        await other.send('{"accepting":true}\n')
+        messages["member"] = await other.line()
+        messages["stopped"] = await other.line()
         if process.line is not None:
             assert process.line.front.connection_ids.reserve(0x73)
-        said["still_held"] = await other.line()
+        messages["still_held"] = await other.line()
         other.close()
     for sock in shared:
         sock.close()
-    return said
+    return messages
 
 
 async def sample(folder: Path) -> dict[str, str]:
-    """Both exchanges; the keys are front and message."""
+    """Return the messages of both fronts; keys are `front_message`."""
     values: dict[str, str] = {}
-    for front in FORMS:
+    for front in FRONTS:
         (folder / front).mkdir()
-        said = await predecessor(folder / front, front)
-        values |= {f"{front}_{name}": line for name, line in said.items()}
+        messages = await predecessor(folder / front, front)
+        values |= {f"{front}_{name}": line for name, line in messages.items()}
     return values
 
 
@@ -295,41 +295,41 @@
     monkeypatch.delenv("TMPDIR", raising=False)
 
 
-def test_predecessor_says_what_was_recorded(tmp_path: Path) -> None:
+def test_predecessor_sends_the_recorded_messages(tmp_path: Path) -> None:
     async def test() -> None:
-        said = await sample(tmp_path)
-        assert list(said) == list(recorded())
+        messages = await sample(tmp_path)
+        assert list(messages) == list(recorded())
         for name, line in recorded().items():
-            assert said[name] == line, name
+            assert messages[name] == line, name
 
     run(test)
 
 
-async def inherited_by(folder: Path, state: str, sockets: int) -> tuple[Other, InheritedState, str]:
-    """Give a recorded state to a process that asks for it; both ends, and what it asked with."""
-    meeting, listener = socket.socket(socket.AF_UNIX), socket.socket()
+async def inherited_by(folder: Path, state: str, sockets: int) -> tuple[PeerStandIn, InheritedState, str]:
+    """Send a recorded state to a requesting process; return the stand-in, the received state and the request."""
+    handover_listener, listener = socket.socket(socket.AF_UNIX), socket.socket()
     path = folder / "before.sock"
-    meeting.bind(str(path))
-    meeting.listen()
+    handover_listener.bind(str(path))
+    handover_listener.listen()
     listener.bind(("127.0.0.1", 0))
     listener.listen()
     asking = asyncio.create_task(asyncio.to_thread(request_handover, path))
-    sock, _ = await asyncio.to_thread(meeting.accept)
-    other = Other(sock)
+    sock, _ = await asyncio.to_thread(handover_listener.accept)
+    other = PeerStandIn(sock)
     hello = await other.line()
     shared = [socket.socket() for _ in range(sockets)]
     frame = state.encode()
     descriptors = [one.fileno() for one in (listener, *shared)]
     await asyncio.to_thread(socket.send_fds, sock, [frame[:1]], descriptors)
-    await other.say(state[1:])
+    await other.send(state[1:])
     inherited = await asking
     assert inherited is not None
-    for one in (meeting, listener, *shared):
+    for one in (handover_listener, listener, *shared):
         one.close()
     return other, inherited, hello
 
 
-@pytest.mark.parametrize("front", FORMS)
+@pytest.mark.parametrize("front", FRONTS)
 def test_successor_takes_the_recorded_state_over_and_hands_on_the_same(tmp_path: Path, front: str) -> None:
     async def test() -> None:
         state = recorded()[f"{front}_state"]
@@ -341,18 +341,18 @@
             sock.close()
         async with process.running():
             assert await other.line() == '{"accepting":true}\n'
-            later = await successor_of(process)
-            await later.say('{"hello":true}\n')
-            again = orjson.loads(await later.line())
-            # It is no member before its predecessor has said that it stopped: it shares no sockets yet.
-            assert orjson.dumps(again | {"sockets": orjson.loads(state)["sockets"]}).decode() + "\n" == state
-            later.close()
+            successor = await successor_of(process)
+            await successor.send('{"hello":true}\n')
+            sent = orjson.loads(await successor.line())
+            # It is no fleet member until its predecessor has stopped, so it shares no sockets yet.
+            assert orjson.dumps(sent | {"sockets": orjson.loads(state)["sockets"]}).decode() + "\n" == state
+            successor.close()
             other.close()
 
     run(test)
 
 
-@pytest.mark.parametrize("front", FORMS)
+@pytest.mark.parametrize("front", FRONTS)
 def test_successor_follows_the_recorded_messages(tmp_path: Path, front: str) -> None:
     async def test() -> None:
         lines = {
@@ -371,12 +371,12 @@
             assert await other.line() == '{"accepting":true}\n'
             core, acceptor = process.core, process.program.front.acceptor
             assert core.overrides.bans == {"s-0": 41.5, "s-1": 42.5}
-            await other.say(lines["ban"])
+            await other.send(lines["ban"])
             await until(lambda: core.overrides.bans == {"s-0": 41.5, "s-1": 42.5, "s-3": 81.5})
-            await other.say(lines["lift"])
+            await other.send(lines["lift"])
             await until(lambda: core.overrides.bans == {"s-0": 41.5, "s-3": 81.5})
             assert core.overrides.reinstated["s-1"] == (42.5, NOW)
-            await other.say(lines["member"])
+            await other.send(lines["member"])
             await until(lambda: members)
             assert members == [fleet_state() if front == "line" else control_state()]
             held = orjson.loads(lines["still_held"])["beside"]
@@ -384,7 +384,7 @@
             if process.line is not None:
                 message["ids"] = orjson.loads(lines["still_held"])["ids"]
                 assert process.line.front.connection_ids.reserve(0x74)
-            await other.say(orjson.dumps(message).decode() + "\n")
+            await other.send(orjson.dumps(message).decode() + "\n")
             await until(lambda: acceptor.sibling_descriptors == 91)
             assert acceptor.sibling_memory_bytes == 92
             server = core.balancer.servers["s-2"]
@@ -393,10 +393,10 @@
             assert (server.sibling_load, server.sibling_count) == (66.5, 1)
             if process.line is not None:
                 assert not process.line.front.connection_ids.reserve(0x73)
-            await other.say(lines["config"])
+            await other.send(lines["config"])
             await until(lambda: core.settings.max_retry_after_ms == 432.5)
-            assert list(core.endpoints.entries) == ["s-file"]  # the list of that file is the one in force now
-            await other.say('{"stopped":true}\n')
+            assert list(core.endpoints.entries) == ["s-file"]  # the list of the new configuration
+            await other.send('{"stopped":true}\n')
             await until(lambda: process.upgrade.handover.is_takeover_complete)
             other.close()
             await until(lambda: acceptor.sibling_descriptors == 0)
--- a/tests/test_upgrade_messages.py
+++ b/tests/test_upgrade_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the two processes of an upgrade, where the recorded ones do not reach."""
+"""Messages between the two processes of an upgrade, for cases without recorded messages."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize(
     "line", [b"[]", b"7", b"{}", b'{"newer":1}', b'{"ban":["s-1"]}', b'{"lift":7}', b'{"config":{}}']
 )
-def test_what_this_version_does_not_know_is_ignored(line: bytes) -> None:
+def test_unknown_messages_are_ignored(line: bytes) -> None:
     assert decode_message(line) is None
 
 
@@ -55,7 +55,7 @@
         decode_message(b"hello")
 
 
-def test_values_of_discovery_whose_types_nobody_checks_are_copied() -> None:
+def test_unchecked_values_of_discovery_are_copied() -> None:
     endpoint = EndpointSnapshot(
         "s-1", zone=7, machine_type=["m"], cell="c", state="ready", weight=1.0, started_at_ms=2.0
     )
