--- a/violetdoor/upgrade/handover.py
+++ b/violetdoor/upgrade/handover.py
@@ -99,7 +99,7 @@
                 handover_listener.setblocking(False)
                 self._publish_socket_path()
             except OSError as err:
-                log.error("cannot listen for a successor: %s", err)
+                log.error("cannot listen on the handover socket, so no successor can take over: %s", err)
                 return
             while True:
                 await wait_readable(handover_listener)
--- a/violetdoor/upgrade/peer_process.py
+++ b/violetdoor/upgrade/peer_process.py
@@ -10,7 +10,7 @@
 from violetdoor.net.sockets import close_socket
 from violetdoor.upgrade.messages import Message, decode_message, encode_line
 
-MAX_MESSAGE_BYTES = 16 << 20  # the configuration may hold rules with large sets
+MAX_MESSAGE_BYTES = 16 << 20  # a configuration may contain rules with large sets
 STALL_TIMEOUT_SECONDS = 2.0  # maximum time for which the other process may read nothing
 READ_CHUNK_BYTES = 64 * 1024
 
