--- a/violetdoor/net/discovery_client.py
+++ b/violetdoor/net/discovery_client.py
@@ -55,7 +55,7 @@
     """The response status is not 200."""
 
     def __init__(self, status: int) -> None:
-        """Record the HTTP status."""
+        """Set the message and record the HTTP status."""
         super().__init__(f"expected HTTP status 200, found {status}")
         self.status = status
 
