--- a/tests/test_list_budget.py
+++ b/tests/test_list_budget.py
@@ -90,11 +90,11 @@
         reachable = await relay.wait_for_failures(1)
         server = GateServer()
         async with server:
-            back = SlowDiscovery(server, slow_from=0)
+            recovered = SlowDiscovery(server, slow_from=0)
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             sock.bind(address)
-            async with await asyncio.start_server(back._take, sock=sock):
+            async with await asyncio.start_server(recovered._take, sock=sock):
                 return await relay.wait_for_list() - reachable
 
 
@@ -109,10 +109,10 @@
         filling.close()
         full.accept()[0].close()
         full.setblocking(False)
-        back = SlowDiscovery(slow_from=0)
+        recovered = SlowDiscovery(slow_from=0)
         async with GateServer() as server:
-            back.states = {server.address: "up"}
-            async with await asyncio.start_server(back._take, sock=full.dup()):
+            recovered.states = {server.address: "up"}
+            async with await asyncio.start_server(recovered._take, sock=full.dup()):
                 return await relay.wait_for_list() - reachable
 
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -20,7 +20,9 @@
     def __init__(self, *servers: GateServer) -> None:
         super().__init__(*servers)
         self.call_times: list[float] = []  # s, loop clock
-        self.faults: dict[int, str] = {}  # by call number
+        # By call number: "silent" never responds, "cut" truncates the response, "trickles" sends it slowly, and
+        # "closes" closes the connection after it.
+        self.faults: dict[int, str] = {}
         self.extra_entries: list[Any] = []  # sent before and after the valid ones
         self.json_options: dict[str, Any] = {}
         self.hides_initial_list = False  # relays start without a list, so they first fetch the complete one
