--- a/violetdoor/configuration/field_types.py
+++ b/violetdoor/configuration/field_types.py
@@ -1,8 +1,8 @@
-"""Types that the forms of several configuration files share, and their JSON Schema.
+"""Field types that the forms of several configuration files share, and the JSON Schema of a form.
 
-A form is a msgspec struct for one table of a file. Where the file's key is not the term that the code uses,
-the key stands in `field(name=...)`: the forms are the one place where the two meet. Names and doc comments of
-the forms are printed by `violetdoor config schema`.
+A form is a msgspec struct for one table of a file. If the file's key differs from the term that the code
+uses, `field(name=...)` gives the key, so that only the forms contain both. `violetdoor config schema` prints
+the names and docstrings of the forms.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 Name = Annotated[str, Meta(min_length=1)]
 Address = Annotated[str, Meta(pattern=r"^.*:[0-9]{1,5}$", description="host:port")]
 
-# A table of a file as the parser returns it: nothing is known of its keys and values yet.
+# A table of a file as the parser returns it: its keys and values are not validated yet.
 RawTable = dict[str, Any]
 
 
 class StrictTable(Struct, forbid_unknown_fields=True):
-    """A table that takes no other names than its own."""
+    """A table in which unknown keys are violations."""
 
 
 def json_schema(form: Any) -> RawTable:
--- a/violetdoor/configuration/operator_form.py
+++ b/violetdoor/configuration/operator_form.py
@@ -1,4 +1,4 @@
-"""The form of an operator's file. Every name in it is known: one that is not is a violation."""
+"""The form of an operator's file. Unknown keys are violations."""
 
 from __future__ import annotations
 
@@ -42,18 +42,20 @@
     """The NATS front; times in seconds, sizes in bytes."""
 
     max_payload: Count = 65_536
-    max_pending: Count = 262_144  # queued towards one client before its server waits
-    write_deadline: Positive = 5.0  # that a client may take nothing before it is a slow consumer
-    connect_deadline: Positive = 5.0  # for a client's first operation
-    connect_timeout: Positive = 0.5  # of a connection to a server
+    max_pending: Count = 262_144  # queued for one client before its server has to wait
+    write_deadline: Positive = 5.0  # a client that reads nothing for this long is a slow consumer
+    connect_deadline: Positive = 5.0  # until a client's first operation
+    connect_timeout: Positive = 0.5  # for opening a connection to a server
     ping_interval: Positive = 1.0  # between two PINGs to a server
-    silence_timeout: Positive = field(default=2.0, name="silence")  # after which a server is unresponsive
-    client_ping: Positive = 30.0  # of a client's silence before it is asked for a sign of life
-    # published and not confirmed before the client waits
+    silence_timeout: Positive = field(
+        default=2.0, name="silence"
+    )  # without data until a server is unresponsive
+    client_ping: Positive = 30.0  # without data from a client until it is sent a PING
+    # Published by one client and not confirmed yet, before the client has to wait.
     max_unconfirmed_bytes: Count = field(default=262_144, name="unconfirmed_most")
-    max_subscriptions: Count = 256  # of one client
-    repeat_window: Count = 128  # message ids remembered for each subscription
-    drain_timeout: Positive = field(default=5.0, name="leave")  # from SIGTERM to the last connection's end
+    max_subscriptions: Count = 256  # per client
+    repeat_window: Count = 128  # message ids remembered per subscription
+    drain_timeout: Positive = field(default=5.0, name="leave")  # from SIGTERM until the last connection ends
 
 
 class Line(StrictTable):
@@ -67,8 +69,8 @@
     """What the process may use, for shedding before it falls behind."""
 
     cores: Positive = 1.0
-    memory_mb: Positive | None = None  # of all processes of this relay together; none: it is not looked at
-    queued_mb: Positive = 64.0  # bytes that may wait for clients in all
+    memory_mb: Positive | None = None  # of all processes of this relay together; None: not checked
+    queued_mb: Positive = 64.0  # queued for all clients together
 
 
 class Rules(StrictTable):
@@ -77,7 +79,7 @@
     file: Name | None = None
     text: Name | None = None
     limit_us: Positive = 250.0
-    files: dict[str, str] | None = None  # what the sets' files held, where a predecessor gave its own
+    files: dict[str, str] | None = None  # contents of the sets' files, if a predecessor has handed them over
 
 
 class Fleet(StrictTable):
@@ -87,20 +89,20 @@
     control machines of its region instead.
     """
 
-    key_file: Name = field(name="key")  # with the shared key, beside this one
-    listen: Address | None = None  # datagrams and calls of the other relays
-    region: Name | None = None  # that this relay belongs to
-    # where the control machines of the region take sessions
+    key_file: Name = field(name="key")  # contains the shared key; relative to the folder of this file
+    listen: Address | None = None  # for datagrams and calls from the other relays
+    region: Name | None = None  # of this relay
+    # At which the control machines of the region accept sessions.
     control_addresses: list[Address] = field(default_factory=list, name="control")
-    seeds: list[Address] = field(default_factory=list)  # relays that are asked to let this one in
-    founders: list[Name] = field(default_factory=list)  # names of the relays that begin a fleet together
-    advertise: Address | None = None  # where the others reach this one, if not at `listen`
-    state_file: Name | None = field(default=None, name="state")  # keeps what a restart must not forget
-    start_timeout: Positive = field(default=2.0, name="wait")  # s that a start waits for the fleet
-    max_wire_version: Literal[1, 2] = field(default=2, name="wire")  # newest version that is spoken
+    seeds: list[Address] = field(default_factory=list)  # members of the fleet that a joining relay contacts
+    founders: list[Name] = field(default_factory=list)  # names of the relays that found a fleet together
+    advertise: Address | None = None  # at which the others reach this relay; None: at `listen`
+    state_file: Name | None = field(default=None, name="state")  # stores the state that must survive restarts
+    start_timeout: Positive = field(default=2.0, name="wait")  # seconds that the start waits for the fleet
+    max_wire_version: Literal[1, 2] = field(default=2, name="wire")  # newest protocol version that is used
     routes: dict[str, Address] = field(
         default_factory=dict
-    )  # where single relays are reached from here, by their names
+    )  # at which this relay reaches single relays, by their names
 
 
 class Operator(StrictTable):
@@ -113,7 +115,7 @@
     console: Address | None = None
     discovery: Address | None = None
     zone: str = ""
-    relay_count: Count = field(default=1, name="relays")  # that share the servers
+    relay_count: Count = field(default=1, name="relays")  # relays that share the servers
     max_sockets: Count = field(default=1024, name="sockets")
     max_attempts: Count = field(default=3, name="attempts")
     max_retry_after_ms: Positive = field(default=1500.0, name="retry_after_ms")
--- a/violetdoor/configuration/platform_form.py
+++ b/violetdoor/configuration/platform_form.py
@@ -1,6 +1,6 @@
-"""The form of the file by which the platform tells a relay its settings.
+"""The form of the file in which the platform gives a relay its settings.
 
-Names that are not here are left alone: the platform may say more than a relay reads. Times are milliseconds.
+Unknown keys are ignored: the file may contain more than a relay reads. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     message_latency_objectives_ms: list[float] | None = field(default=None, name="messageAim")
     reports_delay: bool | None = field(default=None, name="tellsDelay")
     reports_load: bool = field(default=True, name="tellsLoad")
-    has_groups: bool = field(default=True, name="groups")  # absent: a line's `g` is taken for a group
+    has_groups: bool = field(default=True, name="groups")  # by default, a line's `g` names a group
 
 
 class Account(Struct):
@@ -51,7 +51,7 @@
     policy_limits: PolicyLimits = field(name="policyLimits")
     family_info: FamilyInfo = field(default_factory=FamilyInfo, name="familyInfo")
     accounts: list[Account] | None = None
-    relay_count: Count = field(default=1, name="balancers")  # that share the servers; absent: this one alone
+    relay_count: Count = field(default=1, name="balancers")  # relays that share the servers
 
 
 class Limits(Struct):
