--- a/violetdoor/configuration/common_checks.py
+++ b/violetdoor/configuration/common_checks.py
@@ -1,4 +1,4 @@
-"""Checks of values that the forms' types can't express, shared by relays' and control machines' files."""
+"""Checks that the field types can't express, shared by the files of relays and of control machines."""
 
 from __future__ import annotations
 
@@ -6,14 +6,16 @@
 
 from violetdoor.configuration.validation import FieldViolation, KeyPath
 
-MAX_FLEET_NAME_BYTES = 64  # of a name, zone or host that relays tell each other: packets are bounded
+MAX_FLEET_NAME_BYTES = 64  # of a name, zone or host: the fleet's packets, which carry them, are bounded
 MAX_PORT = 65_535
 
-KeyedText = tuple[KeyPath, str | None]  # a value with its place in the file; none where the file has none
+ValueAtPath = tuple[
+    KeyPath, str | None
+]  # the path of a value, and the value; None if the file does not set it
 
 
-def length_violations(texts: Iterable[KeyedText]) -> Iterator[FieldViolation]:
-    """Yield each text that is too long for the fleet's packets."""
+def length_violations(texts: Iterable[ValueAtPath]) -> Iterator[FieldViolation]:
+    """Yield a violation for each text longer than MAX_FLEET_NAME_BYTES."""
     for path, text in texts:
         length = len((text or "").encode())
         if length > MAX_FLEET_NAME_BYTES:
@@ -23,7 +25,7 @@
 
 
 def duplicate_violations(path: KeyPath, addresses: list[str]) -> Iterator[FieldViolation]:
-    """Yield each address of a list that stands in it before."""
+    """Yield a violation for each address that occurs earlier in the list."""
     for index, address in enumerate(addresses):
         if address in addresses[:index]:
             yield FieldViolation(
@@ -31,8 +33,8 @@
             )
 
 
-def address_violations(addresses: Iterable[KeyedText]) -> Iterator[FieldViolation]:
-    """Yield each address whose port can't be."""
+def address_violations(addresses: Iterable[ValueAtPath]) -> Iterator[FieldViolation]:
+    """Yield a violation for each address whose port exceeds MAX_PORT."""
     for path, address in addresses:
         if address is not None and not _has_valid_port(address):
             yield FieldViolation(path, f"found {address!r}, expected host:port")
--- a/violetdoor/configuration/completeness.py
+++ b/violetdoor/configuration/completeness.py
@@ -1,4 +1,4 @@
-"""The check that a platform's file read again is complete: one that was cut may still be sound JSON."""
+"""Check that the platform's file is complete at a reload: a truncated file may still be valid JSON."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from violetdoor.configuration.field_types import RawTable
 from violetdoor.configuration.relay_config import Config
 
-# The value is a list of servers, which may become any other list.
+# Not compared: its value is a list of servers, which may change in any way.
 _UNCHECKED_KEY = "known"
 
 
 def check_complete(current: Config, new: Config) -> None:
-    """Raise MissingKeyError where a newer platform's file lacks a key that the one in force has.
+    """Raise MissingKeyError if the platform's new file lacks a key that the current one has.
 
-    Guards against a file that was cut and still reads: it would be taken for one with other settings. Nothing
-    is checked for an operator's file.
+    A truncated file that can still be parsed would otherwise be applied as a change of settings. Operators'
+    files are not checked.
     """
     if current.is_from_platform and current.serialized:
         _check_value(orjson.loads(current.serialized), orjson.loads(new.serialized), "the file")
@@ -40,11 +40,11 @@
 
 
 def _check_rows(old: list[Any], new: list[Any], table: str) -> None:
-    """Check that each new row has the keys that all old ones share."""
+    """Check that each new row has every key that all old rows have."""
     if not old or not all(isinstance(row, dict) for row in old + new):
         return
-    shared = set.intersection(*(set(row) for row in old))
+    common_keys = set.intersection(*(set(row) for row in old))
     for row in new:
-        missing = shared - set(row)
+        missing = common_keys - set(row)
         if missing:
             raise MissingKeyError(min(missing), table)
--- a/violetdoor/configuration/control_checks.py
+++ b/violetdoor/configuration/control_checks.py
@@ -1,6 +1,6 @@
-"""What only the whole of a control machine's file can tell: values that contradict each other.
+"""Checks of a control machine's file as a whole: values that contradict each other.
 
-The file has its form already: see `validation`.
+The file already matches its form: see `validation`.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 
 from violetdoor.configuration.common_checks import (
-    KeyedText,
+    ValueAtPath,
     address_violations,
     duplicate_violations,
     host_of,
@@ -19,13 +19,13 @@
 
 
 def control_violations(form: ControlFile) -> Iterator[FieldViolation]:
-    """Yield all violations of a file that has the form of a control machine's."""
+    """Yield all violations in a file that matches the control machine's form."""
     control = form.control
     yield from _region_violations(control)
     if not control.group.seeds and control.name not in control.group.founders:
         reason = "neither seeds to ask nor itself among the founders: it would stay alone"
         yield FieldViolation(("control", "group"), reason)
-    yield from length_violations(_names(control))
+    yield from length_violations(_advertised_texts(control))
     yield from address_violations(_addresses(control))
 
 
@@ -40,8 +40,8 @@
         yield from duplicate_violations((*path, region), addresses)
 
 
-def _names(control: Control) -> Iterator[KeyedText]:
-    """Yield what other machines and relays are told of this one."""
+def _advertised_texts(control: Control) -> Iterator[ValueAtPath]:
+    """Yield the texts that this machine sends to other machines and relays."""
     yield ("control", "name"), control.name
     yield ("control", "zone"), control.zone
     yield ("control", "region"), control.region
@@ -53,7 +53,7 @@
     yield ("control", "group", "advertise"), host_of(group.advertise or group.listen)
 
 
-def _addresses(control: Control) -> Iterator[KeyedText]:
+def _addresses(control: Control) -> Iterator[ValueAtPath]:
     group = control.group
     yield ("control", "listen"), control.listen
     yield ("control", "console"), control.console
--- a/violetdoor/configuration/operator_checks.py
+++ b/violetdoor/configuration/operator_checks.py
@@ -1,6 +1,6 @@
-"""What only the whole of an operator's file can tell: contradictions, and names that nothing defines.
+"""Checks of an operator's file as a whole: contradictions, and references to undefined names.
 
-The file has its form already: see `validation`.
+The file already matches its form: see `validation`.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 
 from violetdoor.configuration.common_checks import (
-    KeyedText,
+    ValueAtPath,
     address_violations,
     duplicate_violations,
     host_of,
@@ -19,7 +19,7 @@
 
 
 def operator_violations(form: Operator) -> Iterator[FieldViolation]:
-    """Yield all violations of a file that has the operator's form."""
+    """Yield all violations in a file that matches the operator's form."""
     yield from _class_violations(form)
     if (form.discovery is not None) == bool(form.servers):
         path = ("discovery",) if form.discovery else ()
@@ -46,8 +46,8 @@
     classes = {request_class.name for request_class in form.classes}
     for index, tenant in enumerate(form.tenants):
         if tenant.request_class not in classes:
-            known = ", ".join(sorted(classes))
-            reason = f"unknown class {tenant.request_class!r}, expected one of {known}"
+            expected_names = ", ".join(sorted(classes))
+            reason = f"unknown class {tenant.request_class!r}, expected one of {expected_names}"
             yield FieldViolation(("tenants", index, "class"), reason)
     if form.front == "line" and form.tenants:
         yield FieldViolation(("tenants",), "the line front has its tenants in line.tenants")
@@ -56,7 +56,7 @@
         yield FieldViolation((), reason)
 
 
-def _addresses(form: Operator) -> Iterator[KeyedText]:
+def _addresses(form: Operator) -> Iterator[ValueAtPath]:
     yield ("listen",), form.listen
     yield ("console",), form.console
     yield ("discovery",), form.discovery
@@ -66,7 +66,7 @@
         yield ("servers", index, "addr"), server.address
 
 
-def _fleet_addresses(fleet: Fleet) -> Iterator[KeyedText]:
+def _fleet_addresses(fleet: Fleet) -> Iterator[ValueAtPath]:
     yield ("fleet", "listen"), fleet.listen
     yield ("fleet", "advertise"), fleet.advertise
     for index, seed in enumerate(fleet.seeds):
@@ -78,23 +78,23 @@
 
 
 def _fleet_violations(form: Operator, fleet: Fleet) -> Iterator[FieldViolation]:
-    """Yield the violations of the table `fleet`: of a relay that keeps a view, or of one that attaches."""
+    """Yield the violations in the table `fleet`, whether the relay keeps a view or attaches to a region."""
     if form.name is None:
         yield FieldViolation((), "'name' is missing: the others of a fleet know a relay by it")
     attaches = fleet.region is not None or bool(fleet.control_addresses)
     if attaches:
-        yield from _attached_violations(fleet)
+        yield from _attachment_violations(fleet)
     elif fleet.listen is None:
         reason = "'listen' is missing; a relay of a region has region and control instead"
         yield FieldViolation(("fleet",), reason)
     elif not fleet.seeds and form.name not in fleet.founders:
         reason = "neither seeds to ask nor itself among the founders: it would stay alone"
         yield FieldViolation(("fleet",), reason)
-    yield from length_violations(_fleet_names(form, fleet, form.listen if attaches else fleet.listen))
+    yield from length_violations(_advertised_texts(form, fleet, form.listen if attaches else fleet.listen))
 
 
-def _fleet_names(form: Operator, fleet: Fleet, listen: str | None) -> Iterator[KeyedText]:
-    """Yield what other relays are told of this one, which listens to them there."""
+def _advertised_texts(form: Operator, fleet: Fleet, listen: str | None) -> Iterator[ValueAtPath]:
+    """Yield the texts that this relay sends to other relays; it listens for those at `listen`."""
     yield ("name",), form.name
     yield ("zone",), form.zone
     yield ("fleet", "region"), fleet.region
@@ -103,22 +103,22 @@
     yield ("fleet", "advertise"), host_of(fleet.advertise or listen or "")
 
 
-def _attached_violations(fleet: Fleet) -> Iterator[FieldViolation]:
-    """Yield the violations of the table `fleet` of a relay that attaches to control machines."""
+def _attachment_violations(fleet: Fleet) -> Iterator[FieldViolation]:
+    """Yield the violations in the table `fleet` of a relay that attaches to control machines."""
     if fleet.region is None:
         reason = "'region' is missing: a relay attaches to the control machines of its region"
         yield FieldViolation(("fleet",), reason)
     if not fleet.control_addresses:
         reason = "'control' is missing: the addresses of the region's control machines"
         yield FieldViolation(("fleet",), reason)
-    values_of_a_view = {
+    view_only_values = {
         "listen": fleet.listen,
         "seeds": fleet.seeds,
         "founders": fleet.founders,
         "state": fleet.state_file,
         "routes": fleet.routes,
     }
-    for key, value in values_of_a_view.items():
+    for key, value in view_only_values.items():
         if value:
             reason = "a relay attaches to control machines or keeps a view: not both"
             yield FieldViolation(("fleet", key), reason)
