--- a/violetdoor/configuration/errors.py
+++ b/violetdoor/configuration/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a configuration. Each error's text is the one line that an operator gets to read."""
+"""Errors of a configuration. The text of each is the single line that an operator reads."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from enum import Enum
 from pathlib import Path
 
-MAX_SHOWN_VIOLATIONS = 3  # in one line; `violetdoor config check` prints all of them
+MAX_SHOWN_VIOLATIONS = 3  # in a one-line summary; `violetdoor config check` prints all of them
 
 
 class ConfigError(Exception):
-    """A configuration can't come into force; the text says why in one line."""
+    """A configuration can't be applied; the text gives the reason in one line."""
 
 
 class ConfigFileError(ConfigError):
-    """A file can't be read, or what it says can't be used."""
+    """A file can't be read, or its content can't be used."""
 
     def __init__(self, path: str | Path, reason: object) -> None:
         """`path` is the file as the user named it."""
@@ -24,43 +24,43 @@
 
 
 class ViolationsError(ConfigError):
-    """A file has not the form that it is to have."""
+    """A file does not match its form."""
 
     def __init__(self, violations: Iterable[str]) -> None:
-        """`violations`: all of the file, each with its path and location."""
+        """`violations`: all violations in the file, each with its path and location."""
         self.violations = tuple(violations)
         super().__init__(summarize(self.violations))
 
 
 class MissingKeyError(ConfigError):
-    """A file lacks a key that the configuration in force has."""
+    """A new file lacks a key that the current configuration has."""
 
     def __init__(self, key: str, table: str) -> None:
-        """`table` is the key of the table that lacks it."""
+        """`table` is the name of the table that lacks `key`."""
         super().__init__(f"{key!r} is missing in {table}")
         self.key = key
         self.table = table
 
 
 class RestartRequiredChange(Enum):
-    """A difference of two configurations that a running process can't make; the values stand in the error."""
+    """A change of configuration that a running process can't apply; the values are texts for the error."""
 
-    FRONT = "another front"
-    RULES_PRESENCE = "from rules to none, or back,"
-    SERVER_LIST_ORIGIN = "from discovery to a list of servers, or back,"
+    FRONT = "a change of the front"
+    RULES_PRESENCE = "adding or removing the match rules"
+    SERVER_LIST_ORIGIN = "a change between discovery and a list of servers"
 
 
 class RestartRequiredError(ConfigError):
-    """A configuration is sound and can't come into force in this process."""
+    """A configuration is valid but can't be applied without a restart."""
 
     def __init__(self, change: RestartRequiredChange) -> None:
-        """`change` is the one that takes a restart."""
-        super().__init__(f"{change.value} takes a restart")
+        """`change` is the change that requires the restart."""
+        super().__init__(f"{change.value} requires a restart")
         self.change = change
 
 
 def summarize(violations: Sequence[object]) -> str:
-    """Return the first violations in one line, with the number of the others."""
+    """Return the first violations in one line, followed by the number of those left out."""
     shown = [str(violation) for violation in violations[:MAX_SHOWN_VIOLATIONS]]
     hidden_count = len(violations) - MAX_SHOWN_VIOLATIONS
     if hidden_count > 0:
