--- a/violetdoor/configuration/files.py
+++ b/violetdoor/configuration/files.py
@@ -1,4 +1,4 @@
-"""Reading configuration files, TOML or JSON, and saying where in a file its violations stand."""
+"""Read configuration files (TOML or JSON), and describe violations with their locations in the file."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 def read_table(path: Path) -> RawTable:
-    """Return a file's data as its parser reads it, without a look at its form.
+    """Return the parsed data of a file without validating it.
 
-    Raises ConfigFileError with the place in the file where it does not read.
+    Raises ConfigFileError; for a syntax error it includes line and column.
     """
     try:
         text = path.read_text()
         data = orjson.loads(text) if is_json(path, text) else _parse_toml(text)
     except OSError as err:
         raise ConfigFileError(path, err.strerror) from err
-    except ValueError as err:  # both parsers name line and column
+    except ValueError as err:  # the messages of both parsers include line and column
         raise ConfigFileError(path, err) from err
     if not isinstance(data, dict):
         raise ConfigFileError(path, "the file is no object")
@@ -30,16 +30,16 @@
 
 
 def is_json(path: Path, text: str) -> bool:
-    """Return whether a file is JSON, by its name or its first character; else it is TOML."""
+    """Return whether a file is JSON, by its suffix or its first character; otherwise it is TOML."""
     return path.suffix == ".json" or text.lstrip()[:1] == "{"
 
 
 def describe_violations(path: Path, violations: Iterable[FieldViolation]) -> list[str]:
-    """Return each violation with file, line and column, in the file's order.
+    """Return each violation with file, line and column, sorted by location.
 
-    Without line and column, in the order given, where the file can't be read any more.
+    If the file can't be read any more, return them without line and column, in the given order.
     """
-    from violetdoor.configuration.locations import (  # loads a parser generator
+    from violetdoor.configuration.locations import (  # imports a parser generator, which takes time
         find_locations,
         nearest_location,
     )
@@ -55,7 +55,7 @@
 
 
 def describe_without_locations(path: Path, violations: Iterable[FieldViolation]) -> list[str]:
-    """Return each violation with its file; for a process that serves and can't wait for a parser to load."""
+    """Return each violation with its file only: a serving process can't wait for a parser to load."""
     return [f"{path}: {violation}" for violation in violations]
 
 
--- a/violetdoor/configuration/locations.py
+++ b/violetdoor/configuration/locations.py
@@ -1,6 +1,7 @@
-"""Where in a TOML or JSON file a value stands: lines and columns for the violations that a command reports.
+"""Find the line and column of each value in a TOML or JSON file, for the violations that a command reports.
 
-The file has been read by a parser proper before; these grammars only find places, and take whatever is sound.
+The file has been parsed by a complete parser before. These grammars only locate values; they accept every
+valid file, and don't reject every invalid one.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 from violetdoor.configuration.validation import KeyPath
 
-TOML = r"""
+TOML_GRAMMAR = r"""
 start: item*
 ?item: pair | "[" key "]" -> table | "[[" key "]]" -> entry
 pair: key "=" value
@@ -32,7 +33,7 @@
 %ignore COMMENT
 """
 
-JSON = r"""
+JSON_GRAMMAR = r"""
 start: value
 ?value: object | array | STRING | OTHER
 object: "{" [pair ("," pair)*] "}"
@@ -46,7 +47,7 @@
 
 
 class Location(NamedTuple):
-    """A place in a text file, counted from 1."""
+    """A position in a text file; line and column are counted from 1."""
 
     line: int
     column: int
@@ -58,10 +59,10 @@
 
 
 def find_locations(text: str, *, is_json: bool) -> Locations:
-    """Return the location of every value by its path, without those that can't be found."""
+    """Return the location of every value by its path; values that can't be located are left out."""
     found: Locations = {(): FILE_START}
-    grammar = JSON if is_json else TOML
-    with contextlib.suppress(LarkError, ValueError, RecursionError):  # what was found so far is true
+    grammar = JSON_GRAMMAR if is_json else TOML_GRAMMAR
+    with contextlib.suppress(LarkError, ValueError, RecursionError):  # locations found so far are correct
         parser = Lark(grammar, parser="lalr", propagate_positions=True, maybe_placeholders=False)
         tree = parser.parse(text)
         if is_json:
@@ -72,7 +73,7 @@
 
 
 def nearest_location(locations: Locations, path: KeyPath) -> Location:
-    """Return the location of a value, or of the innermost thing around it that stands in the file."""
+    """Return the location of a value, or of the innermost enclosing value that has one."""
     while path not in locations and path:
         path = path[:-1]
     return locations.get(path, FILE_START)
@@ -114,7 +115,7 @@
 
 
 def _with_entry_indices(path: KeyPath, last_entries: dict[KeyPath, int]) -> KeyPath:
-    """Return the path with the last entry's index behind each array of tables on it."""
+    """Return the path with the index of the last entry inserted after each array of tables on it."""
     indexed: KeyPath = ()
     for key in path:
         indexed = (*indexed, key)
--- a/violetdoor/configuration/rules_text.py
+++ b/violetdoor/configuration/rules_text.py
@@ -1,4 +1,4 @@
-"""Where the text of an operator's match rules stands: in a file of its own or within the operator's."""
+"""Locate the text of an operator's match rules: in a file of its own or within the operator's file."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from violetdoor.rules.source import RulesSource
 
 
-class _Text(NamedTuple):
-    """The rules' text and where it begins, so that its faults are reported there."""
+class _LocatedText(NamedTuple):
+    """The rules' text and the location of its start, to which the locations of faults are relative."""
 
     text: str
     file: Path
@@ -38,24 +38,24 @@
     )
 
 
-def _read_rules_file(path: Path) -> _Text:
+def _read_rules_file(path: Path) -> _LocatedText:
     try:
-        return _Text(path.read_text(), path)
+        return _LocatedText(path.read_text(), path)
     except OSError as err:
         raise ConfigFileError(path, err.strerror) from err
     except ValueError as err:
         raise ConfigFileError(path, err) from err
 
 
-def _locate_text(text: str, path: Path) -> _Text:
-    """Find the rules within the operator's file; those of a predecessor need not be in it."""
+def _locate_text(text: str, path: Path) -> _LocatedText:
+    """Find the rules within the operator's file; rules inherited from a predecessor may be missing there."""
     try:
         content = path.read_text()
     except (OSError, ValueError):
         content = ""
     start = content.find(text)
     if start < 0:
-        return _Text(text, path)
+        return _LocatedText(text, path)
     line = content.count("\n", 0, start) + 1
     column = start - content.rfind("\n", 0, start)
-    return _Text(text, path, line, column)
+    return _LocatedText(text, path, line, column)
--- a/violetdoor/configuration/validation.py
+++ b/violetdoor/configuration/validation.py
@@ -1,6 +1,6 @@
-"""Everything that is wrong with the data of one file, each violation with the place in the file by its names.
+"""Validate the data of one file against its form: find all violations, each with its path in the file.
 
-msgspec stops at the first one in a file; this walks through form and data together and finds them all.
+msgspec stops at the first violation; this module traverses form and data together and finds them all.
 """
 
 from __future__ import annotations
@@ -18,37 +18,37 @@
 
 KeyPath = tuple[str | int, ...]  # keys of tables and indices of lists, from the file's root inwards
 
-MAX_SHOWN_VALUE_CHARACTERS = 60  # of a wrong value in a message, so that it stays one readable line
+MAX_SHOWN_VALUE_CHARACTERS = 60  # of a wrong value in a message, so that it remains one readable line
 
 
 class FieldViolation(typing.NamedTuple):
-    """One value of a file that does not fit its form: where it stands, and what is wrong with it."""
+    """One value of a file that does not match the form: its path, and the reason."""
 
     path: KeyPath
     reason: str
 
     def __str__(self) -> str:
-        """Write `classes[0].aim_ms: reason`; the reason alone where it concerns the whole file."""
-        where = ""
+        """Return `classes[0].aim_ms: reason`, or the reason alone if it concerns the whole file."""
+        dotted_path = ""
         for step in self.path:
             if isinstance(step, int):
-                where += f"[{step}]"
-            elif where:
-                where += f".{step}"
+                dotted_path += f"[{step}]"
+            elif dotted_path:
+                dotted_path += f".{step}"
             else:
-                where = step
-        return f"{where}: {self.reason}" if where else self.reason
+                dotted_path = step
+        return f"{dotted_path}: {self.reason}" if dotted_path else self.reason
 
 
 class _FormField(typing.NamedTuple):
-    """One field of a form: the annotation of its values, and whether a file has to have it."""
+    """One field of a form: its type annotation, and whether a file has to set it."""
 
     annotation: Any
     is_required: bool
 
 
 def form_violations(form: type[Struct], data: Any) -> list[FieldViolation]:
-    """Return all that keeps the data from having this form, in the form's order."""
+    """Return all violations of the form in the data, in the order of the form."""
     return list(_table_violations(form, data, ()))
 
 
@@ -65,10 +65,10 @@
     if not isinstance(value, dict):
         yield FieldViolation(path, f"found {_abbreviate(value)}, expected a table")
         return
-    known = _fields_by_key(form)
+    fields_by_key = _fields_by_key(form)
     if form.__struct_config__.forbid_unknown_fields:
-        yield from _unknown_key_violations(known, value, path)
-    for key, field in known.items():
+        yield from _unknown_key_violations(fields_by_key, value, path)
+    for key, field in fields_by_key.items():
         if key in value:
             yield from _value_violations(field.annotation, value[key], (*path, key))
         elif field.is_required:
@@ -76,17 +76,17 @@
 
 
 def _unknown_key_violations(
-    known: dict[str, _FormField], table: dict[Any, Any], path: KeyPath
+    fields_by_key: dict[str, _FormField], table: dict[Any, Any], path: KeyPath
 ) -> Iterator[FieldViolation]:
-    import difflib  # only a file with a violation needs it
+    import difflib  # needed only for violations
 
     for key in table:
-        if key not in known:
-            similar = difflib.get_close_matches(str(key), known, 1)
+        if key not in fields_by_key:
+            similar = difflib.get_close_matches(str(key), fields_by_key, 1)
             if similar:
                 hint = f"did you mean {similar[0]!r}?"
             else:
-                hint = "expected one of " + ", ".join(sorted(known))
+                hint = "expected one of " + ", ".join(sorted(fields_by_key))
             yield FieldViolation((*path, str(key)), f"unknown name {key!r}; {hint}")
 
 
@@ -131,7 +131,7 @@
 
 
 def _without_none(annotation: Any) -> Any:
-    """Return T for `T | None`; an annotation that is no such union, or of several types, as it is."""
+    """Return T for `T | None`; return any other annotation unchanged."""
     plain = _without_constraints(annotation)
     if not _is_union(plain):
         return annotation
@@ -140,7 +140,7 @@
 
 
 def _expectation(message: str, annotation: Any) -> str:
-    """Return what msgspec expected instead, in one wording for all files."""
+    """Return the expectation in a message of msgspec, in one wording for all files."""
     if annotation is Address:
         return "expected host:port"
     if typing.get_origin(annotation) is Literal:
