--- a/violetdoor/configuration/__init__.py
+++ b/violetdoor/configuration/__init__.py
@@ -1,5 +1,6 @@
-"""Configuration: the forms of all files, the checks of one, and the values that the program runs by.
+"""Configuration: the forms (schemas) of all files, their validation, and the values that a relay runs with.
 
-The platform tells a relay by its environment and a JSON file (`platform_config`), an operator by a TOML or
-JSON file (`operator_config`); `sources` chooses. The forms map the keys of files to the terms of the code.
+A relay of the platform reads environment variables and a JSON file (`platform_config`), a relay of an
+operator a TOML or JSON file (`operator_config`); `sources` selects between the two. The forms map the keys
+of the files to the terms of the code.
 """
--- a/violetdoor/configuration/inheritance.py
+++ b/violetdoor/configuration/inheritance.py
@@ -1,4 +1,4 @@
-"""What a process takes from its own file where the process before it has handed its configuration over."""
+"""Merge the configuration that a predecessor has handed over with the process's own file."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 
 from violetdoor.configuration.field_types import RawTable
 
-PROCESS_KEYS = ("name", "listen", "console", "limits", "seed")  # of each process; all else is inherited
+# Keys that each process reads from its own file; all others are inherited from the predecessor.
+PROCESS_KEYS = ("name", "listen", "console", "limits", "seed")
 
 
-def with_inherited(data: RawTable, inherited: bytes) -> RawTable:
-    """Return the predecessor's configuration, JSON, with each process's own keys out of this file's data."""
+def merge_inherited(data: RawTable, inherited: bytes) -> RawTable:
+    """Return the predecessor's configuration (JSON), with the values of PROCESS_KEYS taken from `data`."""
     predecessor: RawTable = orjson.loads(inherited)
-    own = {key: data[key] for key in PROCESS_KEYS if key in data}
-    return predecessor | own
+    own_values = {key: data[key] for key in PROCESS_KEYS if key in data}
+    return predecessor | own_values
--- a/violetdoor/configuration/operator_config.py
+++ b/violetdoor/configuration/operator_config.py
@@ -1,4 +1,4 @@
-"""A relay's configuration out of an operator's file."""
+"""The configuration of a relay from an operator's file."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from violetdoor.configuration.errors import ConfigError, ViolationsError
 from violetdoor.configuration.field_types import RawTable
 from violetdoor.configuration.files import describe_violations, describe_without_locations, read_table
-from violetdoor.configuration.inheritance import with_inherited
+from violetdoor.configuration.inheritance import merge_inherited
 from violetdoor.configuration.operator_checks import operator_violations
 from violetdoor.configuration.operator_form import Fleet, Operator, Rules
 from violetdoor.configuration.relay_config import Config
@@ -22,41 +22,41 @@
 from violetdoor.fronts.line.options import LineOptions
 from violetdoor.net.addresses import parse_address
 
-if TYPE_CHECKING:  # loaded for the relays whose files ask for them
+if TYPE_CHECKING:  # at run time, imported only if the relay's file uses them
     from violetdoor.control.relay.options import AttachmentOptions
     from violetdoor.fronts.nats.options import NatsOptions
     from violetdoor.rules.source import RulesSource
 
-POLL_DEADLINE_MS = 10_000.0  # within which a failed discovery call is followed by another
+POLL_DEADLINE_MS = 10_000.0  # maximum time until a failed discovery call is repeated
 SEED_BITS = 64
 
 
 class ParsedOperatorFile(NamedTuple):
-    """An operator's file in its form, or else all that is wrong with it."""
+    """The form of an operator's file, or None with all violations in it."""
 
     form: Operator | None
     violations: list[FieldViolation]
 
 
 class OperatorConfigSource:
-    """Reads the configuration of a relay that an operator has started."""
+    """Reads the configuration of a relay that an operator starts."""
 
     def __init__(self, path: Path) -> None:
         """`path`: the operator's file."""
         self.path = path
 
     def listen_address(self) -> str:
-        """Return the address that clients connect to, as it is written; an empty text if it can't be read."""
+        """Return the address that clients connect to, as written in the file; empty if it can't be read."""
         try:
             return str(read_table(self.path)["listen"])
         except (KeyError, ConfigError):
             return ""
 
     def load(self, inherited: bytes = b"") -> Config:
-        """Read the configuration to start with; raises ConfigError.
+        """Read the configuration for the start; raises ConfigError.
 
-        What the process before this one had in force, JSON, outranks the file but for each
-        process's own keys.
+        `inherited` is the predecessor's configuration (JSON). It takes precedence over the file, except for
+        PROCESS_KEYS.
         """
         return load_operator_config(self.path, inherited=inherited)
 
@@ -65,15 +65,15 @@
         return load_operator_config(self.path, is_reload=True)
 
     def parse_inherited(self, serialized: bytes) -> Config:
-        """Return the configuration that the other process of an upgrade has in force; raises ConfigError."""
+        """Return the current configuration of the other process of an upgrade; raises ConfigError."""
         return load_operator_config(self.path, is_reload=True, inherited=serialized)
 
 
 def load_operator_config(path: Path, *, is_reload: bool = False, inherited: bytes = b"") -> Config:
     """Read an operator's file; raises ConfigError.
 
-    What a predecessor had in force outranks it but for each process's own keys. Errors of a reload name no
-    line: the process serves, and can't wait for a parser to load.
+    `inherited` (JSON) takes precedence over the file, except for PROCESS_KEYS. Errors of a reload have no
+    line numbers: the process is serving and can't wait for a parser to load.
     """
     data: RawTable = {}
     try:
@@ -82,7 +82,7 @@
         if not inherited:
             raise
     if inherited:
-        data = with_inherited(data, inherited)
+        data = merge_inherited(data, inherited)
     form, violations = parse_operator_form(data)
     if form is None:
         describe = describe_without_locations if is_reload else describe_violations
@@ -91,7 +91,7 @@
 
 
 def parse_operator_form(data: RawTable) -> ParsedOperatorFile:
-    """Return an operator's file in its form, or all its violations."""
+    """Return the form of an operator's file, or all violations in it."""
     try:
         form = msgspec.convert(data, Operator)
     except msgspec.ValidationError as err:
@@ -102,9 +102,9 @@
 
 
 def translate_operator_form(form: Operator, data: RawTable, path: Path) -> Config:
-    """Return the program's values for a sound file; raises ConfigError where its rules can't be read.
+    """Return the configuration for a valid file; raises ConfigError if its rules can't be read.
 
-    `data` is what `form` was made of. Other files that it names are beside it.
+    `form` was converted from `data`. Paths in the file are relative to the folder of the file.
     """
     fleet = form.fleet
     return Config(
@@ -122,7 +122,7 @@
         is_from_platform=False,
         nats=_nats_options(form) if form.front == "nats" else None,
         overload=form.overload,
-        fleet=_with_complete_paths(fleet, path.parent) if fleet and fleet.listen else None,
+        fleet=_with_resolved_paths(fleet, path.parent) if fleet and fleet.listen else None,
         control=_attachment_options(fleet, path.parent) if fleet and fleet.control_addresses else None,
         log_format=form.log_format,
         rules=_rules_source(form, form.rules, path) if form.rules else None,
@@ -130,7 +130,7 @@
 
 
 def _balancer_settings(form: Operator) -> BalancerSettings:
-    """Return what the decision module is told: here the file's terms become its own."""
+    """Return the settings of the decision module, translated from the terms of the file."""
     classes = {
         request_class.name: RequestClass(
             latency_objective_ms=request_class.latency_objective_ms,
@@ -154,12 +154,12 @@
 
 
 def _server_list(form: Operator) -> RawTable:
-    """Return the file's servers as a complete list in discovery's form."""
+    """Return the file's servers as a complete list in the format of discovery."""
     rows = []
     for server in form.servers:
         defaults = {"zone": form.zone, "id": server.address, "kind": "", "cell": 0}
-        given = {key: value for key, value in msgspec.to_builtins(server).items() if value is not None}
-        rows.append(defaults | given)
+        set_values = {key: value for key, value in msgspec.to_builtins(server).items() if value is not None}
+        rows.append(defaults | set_values)
     return {"version": 0, "full": True, "servers": rows}
 
 
@@ -178,13 +178,13 @@
     return NatsOptions(tenants=tenants, **msgspec.structs.asdict(form.nats))
 
 
-def _with_complete_paths(fleet: Fleet, folder: Path) -> Fleet:
+def _with_resolved_paths(fleet: Fleet, folder: Path) -> Fleet:
     state_file = str(folder / fleet.state_file) if fleet.state_file else None
     return msgspec.structs.replace(fleet, key_file=str(folder / fleet.key_file), state_file=state_file)
 
 
 def _attachment_options(fleet: Fleet, folder: Path) -> AttachmentOptions:
-    """Return what a relay needs in order to attach to its region's control machines."""
+    """Return the options for attaching to the control machines of the relay's region."""
     from violetdoor.control.relay.options import AttachmentOptions
 
     assert fleet.region is not None
--- a/violetdoor/configuration/platform_config.py
+++ b/violetdoor/configuration/platform_config.py
@@ -1,4 +1,4 @@
-"""A relay's configuration as the platform tells it: by the environment and the JSON file that it names."""
+"""The configuration of a relay of the platform, from environment variables and a JSON file."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from violetdoor.balancing.settings import BalancerSettings
 from violetdoor.configuration.errors import ConfigError, ConfigFileError, summarize
 from violetdoor.configuration.field_types import RawTable
-from violetdoor.configuration.inheritance import with_inherited
+from violetdoor.configuration.inheritance import merge_inherited
 from violetdoor.configuration.platform_form import Facts, Platform
 from violetdoor.configuration.relay_config import Config
 from violetdoor.fronts.line.options import LineOptions
 from violetdoor.net.addresses import AddressError, parse_address
 
-# Environment variables of a relay. The file that the first one names is required, the others outrank it.
+# Environment variables. The first names the file and is required; the others take precedence over the file.
 FILE_VARIABLE = "BALANCER_CONFIG"
 NAME_VARIABLE = "BALANCER_NAME"
 LISTEN_VARIABLE = "BALANCER_LISTEN"
@@ -33,15 +33,15 @@
     """A relay was started without any configuration."""
 
     def __init__(self) -> None:
-        """Name both ways to give one."""
+        """Mention both ways to provide one."""
         super().__init__(f"{FILE_VARIABLE} names no file and no --config was given")
 
 
 class PlatformConfigSource:
-    """Reads the configuration of a relay that the platform has started."""
+    """Reads the configuration of a relay that the platform starts."""
 
     def listen_address(self) -> str:
-        """Return the address that clients connect to, as it is written; an empty text if it can't be read."""
+        """Return the address that clients connect to, as configured; empty if it can't be read."""
         try:
             from_environment = os.environ.get(LISTEN_VARIABLE)
             return from_environment or str(_read_table(os.environ[FILE_VARIABLE])["listen"])
@@ -49,27 +49,27 @@
             return ""
 
     def load(self, inherited: bytes = b"") -> Config:
-        """Read the configuration to start with; raises ConfigError.
+        """Read the configuration for the start; raises ConfigError.
 
-        What the process before this one had in force, JSON, outranks both the environment and the file: the
-        file may be broken by now.
+        `inherited` is the predecessor's configuration (JSON). It takes precedence over the environment and
+        over the file, which may be broken by now.
         """
         return _load(None if inherited else os.environ.get(DISCOVERY_VARIABLE), inherited)
 
     def reload(self) -> Config:
         """Read the file again; raises ConfigError.
 
-        It outranks the environment's discovery, which still says what held at the start.
+        It takes precedence over the discovery address in the environment, which is still that of the start.
         """
         return _load(None)
 
     def parse_inherited(self, serialized: bytes) -> Config:
-        """Return the configuration that the other process of an upgrade has in force; raises ConfigError."""
+        """Return the current configuration of the other process of an upgrade; raises ConfigError."""
         return self.load(serialized)
 
 
 def _load(discovery: str | None, inherited: bytes = b"") -> Config:
-    """Read the configuration; `discovery` outranks the file's where it is not empty."""
+    """Read the configuration; `discovery`, unless empty, takes precedence over the file's address."""
     try:
         path = os.environ[FILE_VARIABLE]
     except KeyError as err:
@@ -84,13 +84,13 @@
     except KeyError as err:
         raise ConfigFileError(path, f"{err.args[0]!r} is missing") from err
     except AddressError as err:
-        raise ConfigFileError(path, f"ValueError {err}") from err  # in the words that alerts look for
+        raise ConfigFileError(path, f"ValueError {err}") from err  # operators' alerts match this text
     except (ValueError, TypeError, AttributeError) as err:
         raise ConfigFileError(path, f"{type(err).__name__} {err}") from err
 
 
 def _violations(data: RawTable) -> str:
-    from violetdoor.configuration.validation import form_violations  # only a file with violations needs it
+    from violetdoor.configuration.validation import form_violations  # needed only for violations
 
     return summarize(form_violations(Platform, data))
 
@@ -102,7 +102,7 @@
         data = _read_table(path)
     except (OSError, ValueError, ConfigFileError):
         data = {}
-    return with_inherited(data, inherited)
+    return merge_inherited(data, inherited)
 
 
 def _read_table(path: str) -> RawTable:
@@ -113,7 +113,7 @@
 
 
 def _translate(form: Platform, data: RawTable, discovery: str | None) -> Config:
-    """Return the program's values for a file's data, which has this form."""
+    """Return the configuration for a file's data; `form` was converted from `data`."""
     facts = form.settings
     settings = _balancer_settings(facts, data["settings"])
     console = os.environ.get(CONSOLE_VARIABLE) or form.console
@@ -134,8 +134,8 @@
 
 def _balancer_settings(facts: Facts, data: RawTable) -> BalancerSettings:
     settings = parse_platform_settings(data)
-    # Guards against servers that look sound until they drop their clients: where nothing reports load, echoes
-    # tell nothing of it either, unlike the simulator's notes. The time that a health check takes does.
+    # Without load reports, only the duration of a health check shows overload: echoes carry no load either,
+    # unlike the simulator's load notes. Untimed checks would pass until a server drops its clients.
     sends_health_checks = bool(facts.policy_limits.sends_health_checks)
     are_timed = sends_health_checks and not settings.health_checks_report_load
     return replace(settings, health_checks_are_timed=are_timed)
--- a/violetdoor/configuration/relay_config.py
+++ b/violetdoor/configuration/relay_config.py
@@ -1,4 +1,4 @@
-"""The values that one relay runs by, whatever file they were read from."""
+"""The configuration that a relay runs with, whatever file it was read from."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from violetdoor.fronts.line.options import LineOptions
 from violetdoor.net.addresses import Address
 
-if TYPE_CHECKING:  # a relay of the platform has none of these, and does not load their modules
+if TYPE_CHECKING:  # a relay of the platform uses none of these, and does not load their modules
     from violetdoor.configuration.operator_form import Fleet, Overload
     from violetdoor.control.relay.options import AttachmentOptions
     from violetdoor.fronts.nats.options import NatsOptions
     from violetdoor.rules.source import RulesSource
 
-# Values that a reload can't change, with the names that the log has for them.
-_FIXED_VALUES = {
+# Attributes that a reload can't change, with their names in the log.
+_RESTART_ONLY_ATTRIBUTES = {
     "name": "name",
     "listen": "listen",
     "console": "console",
@@ -34,26 +34,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """What one relay runs by; times in seconds, the classes' deadlines in milliseconds."""
+    """The configuration of one relay; times in seconds, the classes' deadlines in milliseconds."""
 
     name: str
     listen: Address
     discovery: Address | None  # None: `initial_server_list` is the whole fixed list
     seed: int
     settings: BalancerSettings
-    initial_server_list: RawTable  # a list of servers in discovery's form
+    initial_server_list: RawTable  # in the format of discovery
     max_sockets: int
-    line: LineOptions  # of the line front; the classes' deadlines are every front's
-    reports_message_delay: bool  # clients report how late messages are
-    serialized: bytes = b""  # the settings as they were read, for the process that takes over
-    is_from_platform: bool = True  # else from an operator's file
-    console: Address | None = None  # where operators call; none: nowhere
-    nats: NatsOptions | None = None  # none: the front is that of the line protocol
-    overload: Overload | None = None  # none: nobody is rejected for the relay's own load
-    fleet: Fleet | None = None  # none: this relay knows of no other; its files' paths are complete
-    control: AttachmentOptions | None = None  # none: this relay attaches to no control machines
+    line: LineOptions  # for the line front; all fronts use the classes' deadlines in it
+    reports_message_delay: bool  # whether clients report how late messages are
+    serialized: bytes = b""  # the settings as read, for the successor in an upgrade
+    is_from_platform: bool = True  # False: from an operator's file
+    console: Address | None = None  # address of the operators' console; None: no console
+    nats: NatsOptions | None = None  # None: the front is that of the line protocol
+    overload: Overload | None = None  # None: no client is rejected because of the relay's own load
+    fleet: Fleet | None = None  # file paths in it are resolved; None: this relay keeps no view of a fleet
+    control: AttachmentOptions | None = None  # None: this relay attaches to no control machines
     log_format: str = "plain"
-    rules: RulesSource | None = None  # none: requests are what they say they are
+    rules: RulesSource | None = None  # None: requests have the class and tenant that they state
 
     @property
     def deadlines(self) -> dict[str, float]:
@@ -62,14 +62,14 @@
 
     @property
     def front(self) -> str:
-        """The name of the one front that the program has."""
+        """The name of the relay's front."""
         return "line" if self.nats is None else "nats"
 
     def changes_needing_restart(self, new: Config) -> list[str]:
-        """Return the names of what is different in a newer configuration and takes a restart."""
+        """Return the logged names of the values that `new` changes and that only a restart can apply."""
         changed = [
             logged_name
-            for attribute, logged_name in _FIXED_VALUES.items()
+            for attribute, logged_name in _RESTART_ONLY_ATTRIBUTES.items()
             if getattr(self, attribute) != getattr(new, attribute)
         ]
         if self.nats and new.nats:
@@ -79,9 +79,9 @@
         return changed
 
     def with_rules(self, source: RulesSource) -> Config:
-        """Return this configuration with rules that were read.
+        """Return this configuration with match rules that were read.
 
-        Its serialized form holds the text of the rules and of their sets' files: a successor reads no file.
+        `serialized` then contains the text of the rules and of their sets' files: a successor reads no file.
         """
         data = orjson.loads(self.serialized)
         data["rules"] = {"text": source.text, "limit_us": source.limit_us, "files": dict(source.files)}
--- a/violetdoor/configuration/sources.py
+++ b/violetdoor/configuration/sources.py
@@ -1,4 +1,4 @@
-"""Where a relay's configuration comes from: at its start, at SIGHUP, in an upgrade."""
+"""Sources of a relay's configuration, which is read at the start, at SIGHUP and in an upgrade."""
 
 from __future__ import annotations
 
@@ -13,27 +13,28 @@
     """Reads one relay's configuration."""
 
     def listen_address(self) -> str:
-        """Return the address that clients connect to, as it is written; an empty text if it can't be read."""
+        """Return the address that clients connect to, as configured; empty if it can't be read."""
 
     def load(self, inherited: bytes = b"") -> Config:
-        """Read the configuration to start with; raises ConfigError.
+        """Read the configuration for the start; raises ConfigError.
 
-        `inherited`: what the process before this one had in force, if there is one; it outranks the file.
+        `inherited`: the predecessor's configuration (JSON), empty without a predecessor. It takes precedence
+        over the file.
         """
 
     def reload(self) -> Config:
         """Read the file again; raises ConfigError."""
 
     def parse_inherited(self, serialized: bytes) -> Config:
-        """Return the configuration that the other process of an upgrade has in force; raises ConfigError."""
+        """Return the current configuration of the other process of an upgrade; raises ConfigError."""
 
 
 def config_source(path: Path | None) -> ConfigSource:
-    """Return the source for an operator's file, or for the platform's environment where there is none."""
+    """Return the source for an operator's file, or for the platform's environment if `path` is None."""
     if path is None:
         return PlatformConfigSource()
     from violetdoor.configuration.operator_config import (
-        OperatorConfigSource,  # the platform's relay needs none
+        OperatorConfigSource,  # not loaded by a relay of the platform
     )
 
     return OperatorConfigSource(path)
