--- a/violetdoor/maintenance/__init__.py
+++ b/violetdoor/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Servers that operators ban: they get nothing new until the ban is lifted."""
+"""Bans of servers by operators: a banned server gets no new requests until the ban is lifted."""
--- a/violetdoor/maintenance/service.py
+++ b/violetdoor/maintenance/service.py
@@ -1,4 +1,4 @@
-"""Maintenance as a service: the operators' calls on servers, and what the other process of an upgrade did."""
+"""The maintenance service: operators' calls that ban servers, and bans by the other process of an upgrade."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 
 class MaintenanceService(Service):
-    """Bans servers and lifts their bans, here and at the other process of an upgrade."""
+    """Bans servers and lifts bans, in this process and in the other process of an upgrade."""
 
     def __init__(self, host: ServiceHost) -> None:
-        """Put the stored bans and those of the predecessor in force."""
+        """Apply the stored bans and those of the predecessor."""
         self.host = host
         self.core = host.core
         self.bans = BanStore(self.core, _stored_bans_path(host.config.name))
         self.bans.restore()
-        # Each gets the server, and since when it is banned (Unix time in ms) or None for a lifted ban.
+        # Arguments: the server, and the start of its ban (Unix time in ms) or None for a lifted ban.
         self.on_ban_change: list[Callable[[str, float | None], None]] = []
         if host.predecessor_state is not None:
             self.core.overrides.bans.update(host.predecessor_state.bans)
             self.core.overrides.reinstated.update(host.predecessor_state.returned)
 
-    def ban(self, server: str, since: float | None = None, *, must_be_known: bool = True) -> bool:
-        """Ban a server since a Unix time in ms, without one since now.
+    def ban(self, server: str, since: float | None = None, *, require_listed: bool = True) -> bool:
+        """Ban a server since a Unix time in ms; None means now.
 
-        Returns False for one that no list has named, where it `must_be_known`.
+        Returns False if no server list has contained the server, unless `require_listed` is False.
         """
-        if not must_be_known:
+        if not require_listed:
             self.core.endpoints.known_names.add(server)
         if not self.bans.ban(server, self.core.now() if since is None else since):
             return False
@@ -45,7 +45,7 @@
         return True
 
     def lift_ban(self, server: str) -> bool:
-        """Lift a server's ban; return False for one that no list has named."""
+        """Lift a server's ban; return False if no server list has contained it."""
         if not self.bans.lift_ban(server):
             return False
         self.host.send_to_peer(ServerUnbanned(server))
@@ -57,7 +57,7 @@
             case "PUT", ["gate-servers", server, "maint"]:
                 return self._handle_ban(unquote(server))
             case "PUT", ["gate-servers", server, "ready"]:
-                return self._handle_lift(unquote(server))
+                return self._handle_lift_ban(unquote(server))
             case _, ["gate-servers", _, "maint" | "ready"]:
                 return Answer(HTTPStatus.METHOD_NOT_ALLOWED, "another method is wanted\n")
         return None
@@ -69,7 +69,7 @@
         log.info("server %s banned by an operator", server)
         return Answer(HTTPStatus.OK, "left out\n")
 
-    def _handle_lift(self, server: str) -> Answer:
+    def _handle_lift_ban(self, server: str) -> Answer:
         if not self.lift_ban(server):
             return Answer(HTTPStatus.NOT_FOUND, "no list has named this server\n")
         self._notify(server, None)
@@ -81,12 +81,12 @@
             callback(server, since)
 
     def fill_snapshot(self, snapshot: RelaySnapshot) -> None:
-        """Fill in the bans in force and the recently lifted ones."""
+        """Fill in the current bans and the recently lifted ones."""
         snapshot.bans = self.core.overrides.bans
         snapshot.returned = self.core.overrides.reinstated
 
     def on_message(self, message: Message) -> None:
-        """Ban or lift as the other process did."""
+        """Apply a ban of the other process, or the lifting of one."""
         match message:
             case ServerBanned(ban=ServerBan(server=server, since=since)):
                 self.core.endpoints.known_names.add(server)
@@ -96,6 +96,6 @@
 
 
 def _stored_bans_path(relay_name: str) -> Path | None:
-    """Return the file for bans: only an upgrade's two processes share `$TMPDIR`; None without it."""
+    """Return the file for bans in `$TMPDIR`, which only an upgrade's processes share; None without it."""
     folder = os.environ.get("TMPDIR")
     return Path(folder, f"violetdoor-{relay_name}.bans") if folder else None
--- a/violetdoor/maintenance/sharing.py
+++ b/violetdoor/maintenance/sharing.py
@@ -1,4 +1,4 @@
-"""Bans and drains in the map that all relays of a fleet share: what one learns of a server, all know."""
+"""Bans and drains in the shared map of a fleet: all relays learn the state of a server that one observed."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 # Kinds of the shared map's keys.
 BAN_KIND = "ban"
 DRAIN_KIND = "drain"
-DRAIN_TTL_MS = 30_000.0  # for which a server's own announcement that it drains counts, as in the core
+DRAIN_TTL_MS = 30_000.0  # validity of a server's own announcement that it drains, as in the core
 
 
 class SharedServerStates:
-    """Sets what this relay learns of servers in the shared map, and applies other relays' entries."""
+    """Writes bans and drains that this relay learns of to the shared map, and applies others' entries."""
 
     def __init__(self, host: ServiceHost, set_shared_value: Callable[[str, float | None], bool]) -> None:
         """`set_shared_value` sets a key of the shared map; it returns False where the map is full."""
@@ -27,22 +27,22 @@
         self.maintenance = next(
             service for service in host.services if isinstance(service, MaintenanceService)
         )
-        self.maintenance.on_ban_change.append(self._share_ban)
-        self.core.on_server_draining = self._share_drain
+        self.maintenance.on_ban_change.append(self._publish_ban)
+        self.core.on_server_draining = self._publish_drain
 
-    def _share_ban(self, server: str, since: float | None) -> None:
+    def _publish_ban(self, server: str, since: float | None) -> None:
         if not self.set_shared_value(f"{BAN_KIND}:{server}", since):
-            log.error("the fleet's shared map is full: only this relay knows of %s", server)
+            log.error("the fleet's shared map is full; the ban state of server %s does not reach other relays", server)
 
-    def _share_drain(self, server: str) -> None:
+    def _publish_drain(self, server: str) -> None:
         self.set_shared_value(f"{DRAIN_KIND}:{server}", time.time() * 1000)
 
     def apply(self, key: str, value: float | None) -> None:
-        """Apply an entry of another relay."""
+        """Apply an entry that another relay has set."""
         kind, _, server = key.partition(":")
         if kind == BAN_KIND and value is None:
             self.maintenance.lift_ban(server)
         elif kind == BAN_KIND and server not in self.core.overrides.bans:
-            self.maintenance.ban(server, value, must_be_known=False)
+            self.maintenance.ban(server, value, require_listed=False)
         elif kind == DRAIN_KIND and value is not None and time.time() * 1000 < value + DRAIN_TTL_MS:
             self.core.mark_draining(server, reported_by_peer=True)
