--- a/violetdoor/console/__init__.py
+++ b/violetdoor/console/__init__.py
@@ -1,1 +1,1 @@
-"""The console: HTTP calls of operators for health, metrics and maintenance."""
+"""The console: HTTP calls by operators for health, metrics and maintenance."""
--- a/violetdoor/console/server.py
+++ b/violetdoor/console/server.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP/1.1 server: one call a connection, everything about a caller bounded."""
+"""The operators' HTTP/1.1 server: one call per connection, with bounds on callers, call size and time."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
 
 log = logging.getLogger("violetdoor.console")
 
-MAX_CALLERS = 16  # at a time; their descriptors belong to the acceptor's RESERVED_DESCRIPTORS
-CALL_TIMEOUT_SECONDS = 2.0  # for a complete call to arrive
-WRITE_TIMEOUT_SECONDS = 1.0  # for the caller to read the answer
+MAX_CALLERS = 16  # concurrent; their descriptors are part of the acceptor's RESERVED_DESCRIPTORS
+CALL_TIMEOUT_SECONDS = 2.0  # from the accepted connection to a complete call
+WRITE_TIMEOUT_SECONDS = 1.0  # for sending the answer to the caller
 MAX_CALL_BYTES = 8 * 1024  # of head and body together
 MAX_BODY_BYTES = 4 * 1024  # no call uses its body
 
 
 class Answer(NamedTuple):
-    """What the console answers to one call."""
+    """The console's answer to one call."""
 
     status: HTTPStatus
     text: str
 
 
-RequestHandler = Callable[[str, str], Answer]  # of method and path
+RequestHandler = Callable[[str, str], Answer]  # arguments: method and path
 
 
 class IncompleteCallError(EOFError):
     """The caller closed the connection before its call was complete."""
 
     def __init__(self) -> None:
-        """Say that in the log's words."""
-        super().__init__("it ended before a whole call")
+        """Set the text that is logged."""
+        super().__init__("connection closed before the call was complete")
 
 
 class _Call:
@@ -64,7 +64,7 @@
 
 
 class ConsoleServer:
-    """Listens for operators; a complete call is answered at once, whoever else stays silent."""
+    """Listens for operators; a complete call is answered at once, even while other callers send nothing."""
 
     def __init__(self, address: Address, handle_request: RequestHandler, counters: Counters) -> None:
         """Listen at this address. Raises OSError."""
@@ -80,21 +80,21 @@
         while True:
             try:
                 sock, _ = await loop.sock_accept(self.sock)
-            except OSError as err:  # a console must not be gone for good because descriptors were short
-                log.warning("accept failed: %s", err)
+            except OSError as err:  # a temporary lack of descriptors must not end the console
+                log.warning("accept failed, the console tries again: %s", err)
                 await asyncio.sleep(ACCEPT_RETRY_DELAY_SECONDS)
                 continue
             self._evict_oldest()
             task = loop.create_task(self._serve_caller(sock))
             self.callers[task] = None
-            task.add_done_callback(self._forget)
-            await asyncio.sleep(0)  # what it has sent is read before the next one is accepted
+            task.add_done_callback(self._remove_caller)
+            await asyncio.sleep(0)  # lets the task read what has arrived before the next accept
 
     def _evict_oldest(self) -> None:
-        """Make place for one more caller.
+        """Make room for one more caller.
 
-        Guards against callers that stay with half a call. A complete call is never the oldest, for it is
-        answered in the round of the loop in which it is read.
+        Guards against callers that never complete their call. A complete call is never the oldest: it is
+        answered in the same iteration of the event loop in which it is read.
         """
         while len(self.callers) >= MAX_CALLERS:
             oldest = next(iter(self.callers))
@@ -102,7 +102,7 @@
             oldest.cancel()
             self.counters["console_evicted"] += 1
 
-    def _forget(self, task: asyncio.Task[None]) -> None:
+    def _remove_caller(self, task: asyncio.Task[None]) -> None:
         self.callers.pop(task, None)
 
     async def _serve_caller(self, sock: socket.socket) -> None:
@@ -116,10 +116,10 @@
             await linger(sock)
         except (OSError, EOFError) as err:
             self.counters["console_broke"] += 1
-            log.info("a caller's connection broke: %s %s", type(err).__name__, err)
+            log.info("connection of a console caller failed: %s %s", type(err).__name__, err)
         except Exception:
             self.counters["faults"] += 1
-            log.exception("a call failed")
+            log.exception("console call failed")
         finally:
             close_socket(sock)
 
@@ -142,7 +142,7 @@
         return self.handle_request(parser.get_method().decode("latin-1"), path)
 
     async def close(self) -> None:
-        """Stop listening, and end the calls that are still open."""
+        """Stop listening, and cancel the calls that are still open."""
         self.sock.close()
         for task in list(self.callers):
             task.cancel()
--- a/violetdoor/console/service.py
+++ b/violetdoor/console/service.py
@@ -1,4 +1,4 @@
-"""The operators' console as a service: each service handles the calls that are its own."""
+"""The operators' console as a service: it passes each call to the service that handles it."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
     def __init__(self, host: ServiceHost) -> None:
         """Listen at the configured address. Raises OSError."""
         self.host = host
-        assert host.config.console is not None, "this service is made only where a console is configured"
+        assert host.config.console is not None, "ConsoleService is created only if a console is configured"
         self.console = ConsoleServer(host.config.console, self.handle_request, host.counters)
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Accept callers from now on."""
+        """Start accepting callers."""
         self.task = asyncio.get_running_loop().create_task(self.console.run())
         log.info("console on %s:%d", *self.console.address)
 
     async def stop(self) -> None:
-        """Stop listening, and end the calls that are still open."""
+        """Stop listening, and cancel the calls that are still open."""
         if self.task is not None:
             self.task.cancel()
             await self.console.close()
 
     def handle_request(self, method: str, path: str) -> Answer:
-        """Pass a call to the service that it belongs to."""
+        """Pass a call to the services in turn until one answers it."""
         parts = path.split("/")[1:]
         for service in self.host.services:
             answer = service.handle_call(method, parts)
