--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -675,7 +675,7 @@
                 await until(lambda: old.calls >= 4)  # the back-off grows
                 rewrite_discovery(tmp_path, "half an addr")
                 it.process.send_signal(signal.SIGHUP)
-                await until(lambda: it.logged("reload failed, the old values stay"))
+                await until(lambda: it.logged("reload failed, the current configuration stays in effect"))
                 for discovery, server in ((new, two), (last, one)):
                     rewrite_discovery(tmp_path, discovery.address)
                     began = asyncio.get_running_loop().time()
--- a/tests/test_nats.py
+++ b/tests/test_nats.py
@@ -287,7 +287,7 @@
             text = path.read_text().replace('["app", ""]', '["else"]')
             path.write_text(text.replace('name = "booking"', 'name = "new"'))
             it.process.send_signal(signal.SIGHUP)
-            await until(lambda: it.logged("reload failed, the old values stay"))
+            await until(lambda: it.logged("reload failed, the current configuration stays in effect"))
             await (await Client.connect(it, user="app")).flush()
             assert len(one.connects) == 2
             path.write_text(text)
--- a/violetdoor/reloading.py
+++ b/violetdoor/reloading.py
@@ -1,7 +1,7 @@
-"""A change of configuration while the relay serves: each newer one comes into force complete, or not at all.
+"""Reload of the configuration while the relay serves: a new one is applied completely, or not at all.
 
-The steps: read it, check it, let the services prepare for it, apply it everywhere in one go, tell the other
-process of an upgrade. Clients notice nothing.
+The steps: read it, check it, let the services prepare for it, apply it to all of them in one step, and send
+it to the other process of an upgrade. Clients are not affected.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 
 class ConfigReloader:
-    """Brings newer configurations into force; the only one to write the host's `config`."""
+    """Applies new configurations; nothing else sets the host's `config`."""
 
     def __init__(self, host: ServiceHost, source: ConfigSource) -> None:
-        """`source` is read again for each reload."""
+        """`source` is read again at each reload."""
         self.host = host
         self.source = source
         self._preparation: asyncio.Task[None] | None = None
-        self._last_number = 0  # of the preparations
+        self._newest_number = 0  # of the newest preparation; they are numbered from 1
 
     def reload(self) -> None:
-        """Read the configuration again and bring it into force, whatever phase the program is in.
+        """Read the configuration again and apply it, in any phase of the program.
 
-        Guards against a file that is half written or wrong: then all stays as it was.
+        A file that is incomplete or invalid changes nothing.
         """
         try:
             new = self.source.reload()
@@ -44,17 +44,17 @@
         self._prepare_and_apply(new, from_peer=False)
 
     def apply_from_peer(self, serialized: bytes) -> None:
-        """Bring the configuration into force that the other process of an upgrade has; raises ConfigError."""
+        """Apply the configuration of the other process of an upgrade; raises ConfigError."""
         self._prepare_and_apply(self.source.parse_inherited(serialized), from_peer=True)
 
     async def close(self) -> None:
-        """Give up a preparation that is not done yet."""
+        """Cancel a preparation that has not finished."""
         if self._preparation is not None:
             self._preparation.cancel()
             await asyncio.gather(self._preparation, return_exceptions=True)
 
     def _check(self, new: Config) -> None:
-        """Raise ConfigError where a configuration can't come into force without a restart."""
+        """Raise ConfigError if a configuration can't be applied without a restart."""
         current = self.host.config
         if new.front != current.front:
             raise RestartRequiredError(RestartRequiredChange.FRONT)
@@ -64,17 +64,17 @@
             service.check_config(new)
 
     def _reject(self, err: Exception) -> None:
-        """Keep to the configuration that is in force."""
+        """Count and log a rejected configuration; the current one stays in effect."""
         self.host.counters["reload_failed"] += 1
         self.host.metrics.counts["config_rejected"] += 1
-        log.error("reload failed, the old values stay: %s", err)
+        log.error("reload failed, the current configuration stays in effect: %s", err)
 
     def _prepare_and_apply(self, new: Config, *, from_peer: bool) -> None:
         if not any(service.needs_preparation(new, from_peer=from_peer) for service in self.host.services):
             self._apply(new, from_peer=from_peer)
             return
-        self._last_number += 1
-        preparation = self._prepare(new, self._preparation, self._last_number, from_peer=from_peer)
+        self._newest_number += 1
+        preparation = self._prepare(new, self._preparation, self._newest_number, from_peer=from_peer)
         self._preparation = asyncio.get_running_loop().create_task(preparation)
         self._preparation.add_done_callback(self._on_prepared)
 
@@ -86,13 +86,13 @@
         *,
         from_peer: bool,
     ) -> None:
-        """Apply a configuration once all services are ready for it, and the preparation before is done.
+        """Apply a configuration once all services are prepared and the previous preparation has finished.
 
-        Of several that wait only the newest counts.
+        If several configurations are waiting, only the newest is applied.
         """
         if previous is not None:
             await asyncio.wait((previous,))
-        if number < self._last_number:
+        if number < self._newest_number:
             return
         try:
             for service in self.host.services:
@@ -106,12 +106,12 @@
         if task.cancelled():
             return
         err = task.exception()
-        if err is not None:  # a fault of this program
+        if err is not None:  # a bug of this program
             self.host.counters["faults"] += 1
             self._reject(ConfigError(f"{type(err).__name__} {err}"))
 
     def _apply(self, new: Config, *, from_peer: bool) -> None:
-        """Bring a configuration that has passed every check into force, in one step."""
+        """Apply a configuration that has passed every check, in one step."""
         host = self.host
         if not from_peer:
             host.counters["reloads"] += 1
@@ -122,7 +122,7 @@
         host.core.reconfigure(new.settings, reports_message_delay=new.reports_message_delay)
         for service in host.services:
             service.apply_config(new)
-        unchanged = ", ".join(host.config.changes_needing_restart(new)) or "nothing"
+        awaiting_restart = ", ".join(host.config.changes_needing_restart(new)) or "nothing"
         host.config = new
         server_list = "discovery at {}:{}".format(*new.discovery) if new.discovery else "the listed servers"
-        log.info("reloaded: %s; changed, but takes a restart: %s", server_list, unchanged)
+        log.info("reloaded, servers from %s; changed, but takes a restart: %s", server_list, awaiting_restart)
