--- a/violetdoor/program.py
+++ b/violetdoor/program.py
@@ -1,4 +1,4 @@
-"""One relay from start to exit: its phases, and the services that it is made of."""
+"""One relay from start to exit: its phases and its services."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from violetdoor.net.server_directory import ServerDirectory
 from violetdoor.net.server_list_service import ServerListService
 from violetdoor.reloading import ConfigReloader
-from violetdoor.service_loading import front_of, services_after_front, services_before_front
+from violetdoor.service_loading import front_factory, services_after_front, services_before_front
 from violetdoor.services import Front, Service
 from violetdoor.startup import BLOCKED_SIGNALS
 from violetdoor.upgrade.messages import Message
 from violetdoor.upgrade.predecessor import InheritedState
 from violetdoor.upgrade.service import UpgradeService
 
-if TYPE_CHECKING:  # what the platform's relay has no use for stays out of its memory
+if TYPE_CHECKING:  # not imported at run time, since the platform's relay uses none of them
     from violetdoor.overload.gate import AdmissionGate
     from violetdoor.rules.active_rules import ActiveRules
     from violetdoor.rules.source import CompiledRules
@@ -38,7 +38,7 @@
 
 
 def unix_clock() -> float:
-    """Return Unix time in ms that never jumps: servers' starts are told in it."""
+    """Return a Unix time in ms that never jumps; servers report their start time in Unix time."""
     return time.monotonic() * 1000 + _UNIX_MINUS_MONOTONIC_MS
 
 
@@ -52,23 +52,23 @@
 
 
 class Program:
-    """One relay, and the host of its services: see `ServiceHost` for what they use of it."""
+    """One relay, and the host of its services: `ServiceHost` declares what services may use."""
 
     def __init__(
         self,
         config: Config,
         source: ConfigSource,
-        log_limit: RepeatedLineFilter,
+        line_filter: RepeatedLineFilter,
         meeting_path: Path | None = None,
         predecessor: InheritedState | None = None,
     ) -> None:
-        """Set up a relay that has not started.
+        """Set up a relay without starting it.
 
-        `meeting_path`: where an upgrade's processes meet, none without upgrades. `predecessor`: what the
-        process before this one has handed over.
+        `meeting_path`: the socket over which the processes of an upgrade connect; None if upgrades are not
+        possible. `predecessor`: the state that the previous process has handed over.
         """
         self.config = config
-        self.log_limit = log_limit
+        self.line_filter = line_filter
         self.meeting_path = meeting_path
         self.predecessor = predecessor
         self.predecessor_state = predecessor.snapshot if predecessor else None
@@ -90,12 +90,12 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether clients are taken."""
+        """Whether clients are accepted."""
         return self.phase is Phase.SERVING
 
     @property
     def predecessor_may_accept(self) -> bool:
-        """Whether another process of this relay may still take clients, too."""
+        """Whether another process of this relay may still accept clients, too."""
         return self.upgrade is not None and not self.upgrade.handover.is_settled
 
     def send_to_peer(self, message: Message) -> None:
@@ -104,7 +104,7 @@
             self.upgrade.handover.broadcast(message)
 
     def apply_peer_config(self, serialized: bytes) -> None:
-        """Bring the configuration into force that the other process of an upgrade has; raises ConfigError."""
+        """Apply the configuration of the other process of an upgrade; raises ConfigError."""
         self.reloader.apply_from_peer(serialized)
 
     async def run(self) -> None:
@@ -126,12 +126,12 @@
         self._log_counters()
 
     def _create_services(self) -> None:
-        """Create the services of this configuration, in the order of their start."""
+        """Create the services that the configuration needs, in the order of their start."""
         self._add_service(MaintenanceService(self))
         self._add_service(ServerListService(self))
         for create in services_before_front(self.config):
             self._add_service(create(self))
-        self.front = front_of(self.config)(self)
+        self.front = front_factory(self.config)(self)
         self._add_service(self.front)
         for create in services_after_front(self.config):
             self._add_service(create(self))
@@ -144,7 +144,7 @@
         self.metrics.gauges.update(service.gauges())
 
     async def _serve(self) -> None:
-        """Start all services, take clients until a stop is requested, and drain."""
+        """Start all services, accept clients until a stop is requested, then drain."""
         loop = asyncio.get_running_loop()
         first_after_front = self.services.index(self.front) + 1
         for service in self.services[:first_after_front]:
@@ -169,7 +169,7 @@
             await service.stop()
 
     def _request_stop(self) -> None:
-        """End: the front learns of it in the moment of the signal, not some rounds of the loop later."""
+        """Stop; the front is notified at once, not some iterations of the event loop after the signal."""
         self._stop_requested.set()
         self.front.begin_shutdown()
 
@@ -178,6 +178,6 @@
         self.phase = phase
 
     def _log_counters(self) -> None:
-        if self.log_limit.suppressed:
-            self.counters["log_lines_left_out"] = self.log_limit.suppressed
+        if self.line_filter.suppressed:
+            self.counters["log_lines_left_out"] = self.line_filter.suppressed
         log.info("counters: %s", self.counters.format_line())
--- a/violetdoor/service_loading.py
+++ b/violetdoor/service_loading.py
@@ -1,4 +1,4 @@
-"""The services that a configuration asks for. Each is imported where it is asked for, and not else."""
+"""The services that a configuration needs. Each is imported only if the configuration needs it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def services_before_front(config: Config) -> Iterator[ServiceFactory]:
-    """Yield the optional services that start before clients are taken, in the order of their start."""
+    """Yield the optional services that start before clients are accepted, in the order of their start."""
     if config.rules is not None:
         from violetdoor.rules.service import RulesService
 
@@ -30,8 +30,8 @@
         yield ControlService
 
 
-def front_of(config: Config) -> Callable[[ServiceHost], Front]:
-    """Return the one front that takes clients."""
+def front_factory(config: Config) -> Callable[[ServiceHost], Front]:
+    """Return the factory of the configured front, which accepts clients."""
     if config.front == "line":
         from violetdoor.fronts.line.service import LineService
 
@@ -42,7 +42,7 @@
 
 
 def services_after_front(config: Config) -> Iterator[ServiceFactory]:
-    """Yield the optional services that start once clients are taken, in the order of their start."""
+    """Yield the optional services that start once clients are accepted, in the order of their start."""
     if config.console is not None:
         from violetdoor.console.service import ConsoleService
 
--- a/violetdoor/services.py
+++ b/violetdoor/services.py
@@ -1,7 +1,7 @@
-"""What the program is made of: services. Each is one concern, in a package with a `service.py` of its own.
+"""The services that make up the program. Each is one concern, in a package with its own `service.py`.
 
-A service takes part in what the program does by the methods that it overrides: it starts and stops, applies a
-new configuration, has metrics, answers operators' calls, and hands over to the other process of an upgrade.
+The program calls the methods that a service overrides: to start and stop, to apply a new configuration, to
+read metrics, to answer operators' calls, and to hand over to the other process of an upgrade.
 """
 
 from __future__ import annotations
@@ -31,92 +31,93 @@
 
 
 class Service:
-    """One concern of the running program. A method that a service does not override does nothing."""
+    """One concern of the running program. The methods of this base class do nothing."""
 
     async def start(self) -> None:
-        """Start: the services before this one are started, and those before the front see no client yet."""
+        """Start, after the services before this one; no client is accepted before the front has started."""
 
     async def stop(self) -> None:
-        """Stop: no client is left, and the services after this one are stopped."""
+        """Stop, once no client is connected and the services after this one are stopped."""
 
-    # A change of configuration, in the order of the calls: see `reloading`.
+    # Change of configuration; the methods are called in this order by `reloading`.
 
     def check_config(self, new: Config) -> None:
-        """Raise ConfigError where this service can't apply a configuration without a restart."""
+        """Raise ConfigError if this service can't apply a configuration without a restart."""
 
     def needs_preparation(self, new: Config, *, from_peer: bool) -> bool:
-        """Return whether `prepare_config` has anything to do; `from_peer` as there."""
+        """Return whether `prepare_config` has anything to do; it explains `from_peer`."""
         del new, from_peer
         return False
 
     async def prepare_config(self, new: Config, *, from_peer: bool) -> Config:
-        """Do what takes time before a configuration is in force; return it with what was read for it.
+        """Do the slow steps before a configuration is applied; return it with the data that they read.
 
-        `from_peer`: the other process of an upgrade sent it. Raises ConfigError where it can't be prepared.
+        `from_peer`: the other process of an upgrade sent the configuration. Raises ConfigError if preparing
+        it fails.
         """
         del from_peer
         return new
 
     def apply_config(self, new: Config) -> None:
-        """Bring a configuration into force that has passed every check; nothing may fail here."""
+        """Apply a configuration that has passed every check; this must not fail."""
 
-    # Operators.
+    # Calls and metrics of operators.
 
     def gauges(self) -> Mapping[str, Callable[[], int]]:
-        """Return what reads this service's gauges, by their names in `/stats`."""
+        """Return the functions that read this service's gauges, by the gauges' names in `/stats`."""
         return {}
 
     def handle_call(self, method: str, path: list[str]) -> Answer | None:
-        """Answer an operator's HTTP call by the parts of its path; None for one of another service."""
+        """Answer an operator's HTTP call by the parts of its path; return None for another service's call."""
 
-    # Two processes of one relay, in an upgrade.
+    # Upgrade: two processes of one relay.
 
     def fill_snapshot(self, snapshot: RelaySnapshot) -> None:
-        """Fill in the state that the process that takes over starts from."""
+        """Fill in the state from which the successor starts."""
 
     def shared_sockets(self) -> dict[str, socket.socket]:
-        """Return the sockets that it gets a descriptor of, too, by name: nobody is rejected meanwhile."""
+        """Return the sockets, by name, that the successor gets too, so that no peer is rejected meanwhile."""
         return {}
 
     def fill_held_report(self, report: HeldReport) -> None:
-        """Fill in what this process still holds; its successor gets a report every 200 ms."""
+        """Fill in the resources that this process still uses; its successor gets a report every 200 ms."""
 
     def on_message(self, message: Message) -> None:
-        """Handle a message of the other process."""
+        """Handle a message from the other process."""
 
     def on_successor_accepting(self) -> None:
-        """Leave this relay's new clients to the process that takes over, from now on."""
+        """Stop accepting new clients of this relay: the successor accepts them from now on."""
 
     def on_successor_lost(self) -> None:
-        """Take the relay's clients again: the process that took over has ended."""
+        """Accept clients again: the successor has ended."""
 
 
 class Front(Service):
-    """The service that accepts clients. A program has just one."""
+    """The service that accepts clients. A program has exactly one."""
 
     core: Controller
     acceptor: Acceptor
 
     async def serve(self) -> None:
-        """Accept clients until this is cancelled."""
+        """Accept clients until cancelled."""
         raise NotImplementedError
 
     def begin_shutdown(self) -> None:
-        """Start nothing that is read from now on: a signal has come to stop, and `drain` is called next."""
+        """Start no request that is read from now on: a stop was requested, and `drain` is called next."""
         raise NotImplementedError
 
     async def drain(self) -> None:
-        """Let requests end, send clients away, accept no more."""
+        """Stop accepting clients, let requests finish, and disconnect the clients."""
         raise NotImplementedError
 
     def queued_bytes(self) -> float:
-        """Return the bytes that wait for all clients together."""
+        """Return the number of bytes queued for all clients together."""
         return 0.0
 
     def relieve_memory(self, *, under_pressure: bool, migrate: bool) -> None:
-        """Read less for the longest queues under memory pressure, and as before without.
+        """Under memory pressure, read less for the longest queues; otherwise read as usual again.
 
-        `migrate`: also send some clients of the lowest priority elsewhere.
+        `migrate`: also migrate some clients of the lowest priority, or end their sessions.
         """
 
     def fill_held_report(self, report: HeldReport) -> None:
@@ -125,46 +126,46 @@
         report.resources = HeldResources(self.core.load_by_server(), descriptors, resident_memory_bytes())
 
     def on_message(self, message: Message) -> None:
-        """Count what the other process holds."""
+        """Count the connections, descriptors and memory of the other process."""
         if isinstance(message, HeldReport) and message.resources is not UNSET:
-            held = {
+            connection_totals = {
                 server: ConnectionTotal(load, count)
                 for server, (load, count) in message.resources.held.items()
             }
-            self.core.handle(SiblingProcessLoad(held))
+            self.core.handle(SiblingProcessLoad(connection_totals))
             self.acceptor.sibling_descriptors = message.resources.descriptors
             self.acceptor.sibling_memory = message.resources.memory
 
     def on_successor_accepting(self) -> None:
-        """Accept no more, and leave health checks to the successor."""
+        """Stop accepting clients, and leave health checks to the successor."""
         self.acceptor.set_accepting(enabled=False)
         self.core.set_health_checks_paused(paused=True)
 
     def on_successor_lost(self) -> None:
-        """Accept clients and check servers' health again."""
+        """Resume accepting clients and checking servers' health."""
         self.acceptor.set_accepting(enabled=True)
         self.core.set_health_checks_paused(paused=False)
 
 
 class ServiceHost(Protocol):
-    """The program, as its services see it: `violetdoor.program.Program` is one."""
+    """The interface of the program for its services; `violetdoor.program.Program` implements it."""
 
-    config: Config  # in force
+    config: Config  # the current one
     core: Controller
     counters: Counters  # printed on SIGUSR1
     metrics: Metrics  # shown by `/stats`
     directory: ServerDirectory
-    predecessor_state: RelaySnapshot | None  # of the process before this one
-    inherited_listener: socket.socket | None  # the socket that it accepted clients from
-    inherited_sockets: dict[str, socket.socket]  # and what else it had open, by name
-    compiled_rules: CompiledRules | None  # to start with; None without rules, and once they are in service
+    predecessor_state: RelaySnapshot | None  # handed over by the previous process
+    inherited_listener: socket.socket | None  # the predecessor's listening socket for clients
+    inherited_sockets: dict[str, socket.socket]  # further sockets of the predecessor, by name
+    compiled_rules: CompiledRules | None  # for the start; None without rules, and once RulesService has them
     rules: ActiveRules | None
     gate: AdmissionGate | None
     services: list[Service]  # in the order of their start
 
     @property
     def front(self) -> Front:
-        """The service that accepts clients; not there before those that start before it."""
+        """The service that accepts clients; not set yet when the services before it are created."""
 
     @property
     def is_serving(self) -> bool:
@@ -178,4 +179,4 @@
         """Send a message to the other process of an upgrade, if there is one."""
 
     def apply_peer_config(self, serialized: bytes) -> None:
-        """Bring the configuration into force that the other process has; raises ConfigError."""
+        """Apply the configuration of the other process; raises ConfigError."""
