--- a/violetdoor/__main__.py
+++ b/violetdoor/__main__.py
@@ -1,4 +1,4 @@
-"""Start one relay, or carry out a command."""
+"""Start one relay, or run a command."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def main() -> int:
-    """Start a relay as the platform does, without any command; else see what is asked for."""
+    """Start a relay without arguments or with `--config FILE` alone; otherwise run a command."""
     match sys.argv[1:]:
         case []:
             path = None
--- a/violetdoor/serve.py
+++ b/violetdoor/serve.py
@@ -1,4 +1,4 @@
-"""Start one relay and serve until told to stop: what comes before the event loop, and the exit status."""
+"""Start one relay and serve until it is stopped: the steps before the event loop, and the exit status."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from violetdoor.startup import LogOutput, run_program
 from violetdoor.upgrade.predecessor import InheritedState, meeting_path, request_handover
 
-if TYPE_CHECKING:  # what the platform's relay has no use for stays out of its memory
+if TYPE_CHECKING:  # not imported at run time, since the platform's relay does not use it
     from violetdoor.rules.source import CompiledRules
 
 
 def serve(path: Path | None) -> int:
-    """Run a relay until it is told to stop; return the exit status.
+    """Run a relay until it is stopped; return the exit status.
 
-    `path` is an operator's file; without one the relay is the platform's. What can't be read or started is
-    one plain line on standard error and a status of 2.
+    `path` is an operator's file; None starts a relay of the platform. If the configuration is invalid or the
+    relay can't start, one line is printed on standard error and the status is 2.
     """
     return run_program(partial(_serve, path))
 
@@ -33,7 +33,7 @@
 
 
 def _create_program(source: ConfigSource, log_output: LogOutput) -> Program:
-    """Read the configuration, the predecessor's where there is one, and set the relay up."""
+    """Read the configuration, from a predecessor if there is one, and set the relay up."""
     path = meeting_path(source.listen_address())
     predecessor = request_handover(path) if path else None
     config = source.load(_inherited_config(predecessor))
@@ -47,12 +47,12 @@
 
 
 def _inherited_config(predecessor: InheritedState | None) -> bytes:
-    """Return the configuration that the process before this one has in force, empty without one."""
+    """Return the predecessor's current configuration (JSON); empty without a predecessor."""
     return predecessor.snapshot.config.encode() if predecessor else b""
 
 
 def _compile_rules(config: Config) -> CompiledRules | None:
-    """Compile the match rules if there are any; raises ConfigError, so that faulty ones end the start."""
+    """Compile the match rules if there are any; raises ConfigError, so that faulty rules abort the start."""
     if config.rules is None:
         return None
     from violetdoor.rules.service import compile_initial
