--- a/violetdoor/events.py
+++ b/violetdoor/events.py
@@ -1,7 +1,7 @@
-"""Event names of the program, one constant each, and the function that writes an event to the log.
+"""The names of all events, one constant each, and the function that writes an event to the log.
 
-An event is a log line with a name and values: plain text as any other line, or JSON where the operator's
-file asks for it. `docs/oncall.md` lists every event, and a test compares that list with the constants here.
+An event is a log line with a name and values, written as plain text or, if the operator's file sets `log` to
+"json", as JSON. `docs/oncall.md` lists every event, and a test compares that list with the constants here.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 FLEET_VIEW = "fleet.view"
 # This relay holds a lease of its view.
 FLEET_LEASE_ACQUIRED = "fleet.lease_acquired"
-# This relay holds no lease any more.
+# This relay no longer holds a lease.
 FLEET_LEASE_EXPIRED = "fleet.lease_expired"
 # A new epoch of views started.
 FLEET_FOUNDED = "fleet.founded"
@@ -29,45 +29,45 @@
 FLEET_REMOVED = "fleet.removed"
 # This relay left by its own decision.
 FLEET_LEFT = "fleet.left"
-# Another relay does not admit this one.
+# Another relay rejected this relay's attempt to join.
 FLEET_JOIN_REJECTED = "fleet.join_rejected"
 # The new process of an upgrade is the fleet's member from now on.
 FLEET_HANDOVER_COMPLETED = "fleet.handover_completed"
-# This process was stopped for a while.
+# This process did not run for a while.
 FLEET_PAUSE_DETECTED = "fleet.pause_detected"
-# No lease under an earlier view can still hold.
+# No lease under an earlier view can still be valid.
 FLEET_PRIOR_LEASES_EXPIRED = "fleet.prior_leases_expired"
 
 # The control plane of a large fleet. Values: see docs/operators/fleet-scale.md.
 
 # This control machine is the leader and has written its term's first roster.
 CONTROL_TERM_STARTED = "control.term_started"
-# The leader wrote which relays joined and which departed.
+# The leader recorded relays that joined or departed.
 CONTROL_MEMBERS_CHANGED = "control.members_changed"
 # This control machine holds a lease in its group and can grant leases.
 CONTROL_QUORUM_ACQUIRED = "control.quorum_acquired"
 # This control machine holds no lease in its group and grants none.
 CONTROL_QUORUM_LOST = "control.quorum_lost"
-# A session was not opened.
+# A session attempt was rejected.
 CONTROL_SESSION_REJECTED = "control.session_rejected"
-# A session was closed for a fault of its own.
+# This control machine closed a session because of the peer's behavior: its values include the reason.
 CONTROL_SESSION_DROPPED = "control.session_dropped"
-# Another region is followed.
+# This control machine started to follow another region.
 CONTROL_REGION_FOLLOWED = "control.region_followed"
-# Another region is not followed any more.
+# This control machine no longer follows another region.
 CONTROL_REGION_LOST = "control.region_lost"
 
 # The relay's side of the control plane. Values: see docs/operators/fleet-scale.md.
 
-# This relay has a session at a control machine.
+# This relay opened a session with a control machine.
 ATTACH_SESSION_OPENED = "attach.session_opened"
-# The session at a control machine ended.
+# The session with a control machine ended.
 ATTACH_SESSION_LOST = "attach.session_lost"
-# A control machine did not open a session.
+# A control machine rejected a session.
 ATTACH_REJECTED = "attach.rejected"
 # This relay holds a lease.
 ATTACH_LEASE_ACQUIRED = "attach.lease_acquired"
-# This relay holds no lease any more.
+# This relay no longer holds a lease.
 ATTACH_LEASE_EXPIRED = "attach.lease_expired"
 
 
@@ -80,7 +80,7 @@
 
 
 def is_event(args: tuple[object, ...]) -> bool:
-    """Tell whether a log record with these arguments is an event, written by `emit`."""
+    """Return whether a log record with these arguments is an event, written by `emit`."""
     match args:
         case (_, EventValues()):
             return True
@@ -93,5 +93,5 @@
 
 
 def emit(log: logging.Logger, name: str, **values: EventValue) -> None:
-    """Write one event to a log, at level INFO."""
+    """Write one event to a log at level INFO."""
     log.info("%s %s", name, EventValues(values))
