--- a/violetdoor/configuration/operator_form.py
+++ b/violetdoor/configuration/operator_form.py
@@ -47,9 +47,7 @@
     connect_deadline: Positive = 5.0  # until a client's first operation
     connect_timeout: Positive = 0.5  # for opening a connection to a server
     ping_interval: Positive = 1.0  # between two PINGs to a server
-    silence_timeout: Positive = field(
-        default=2.0, name="silence"
-    )  # without data until a server is unresponsive
+    silence_timeout: Positive = field(default=2.0, name="silence")  # of a server until it is unresponsive
     client_ping: Positive = 30.0  # without data from a client until it is sent a PING
     # Published by one client and not confirmed yet, before the client has to wait.
     max_unconfirmed_bytes: Count = field(default=262_144, name="unconfirmed_most")
@@ -100,9 +98,8 @@
     state_file: Name | None = field(default=None, name="state")  # stores the state that must survive restarts
     start_timeout: Positive = field(default=2.0, name="wait")  # seconds that the start waits for the fleet
     max_wire_version: Literal[1, 2] = field(default=2, name="wire")  # newest protocol version that is used
-    routes: dict[str, Address] = field(
-        default_factory=dict
-    )  # at which this relay reaches single relays, by their names
+    # Addresses at which this relay reaches single relays, by relay name; others are reached as advertised.
+    routes: dict[str, Address] = field(default_factory=dict)
 
 
 class Operator(StrictTable):
--- a/violetdoor/maintenance/sharing.py
+++ b/violetdoor/maintenance/sharing.py
@@ -32,7 +32,7 @@
 
     def _publish_ban(self, server: str, since: float | None) -> None:
         if not self.set_shared_value(f"{BAN_KIND}:{server}", since):
-            log.error("the fleet's shared map is full; the ban state of server %s does not reach other relays", server)
+            log.error("shared map is full; the ban state of server %s does not reach other relays", server)
 
     def _publish_drain(self, server: str) -> None:
         self.set_shared_value(f"{DRAIN_KIND}:{server}", time.time() * 1000)
