--- a/violetdoor/cli/__init__.py
+++ b/violetdoor/cli/__init__.py
@@ -1,12 +1,12 @@
-"""The command line: what operators run beside the relay itself."""
+"""The command line: all commands of operators; a relay also starts without it."""
 
 from __future__ import annotations
 
 
 def run(args: list[str]) -> int:
-    """Carry out one command and return its exit status.
+    """Run one command and return its exit status.
 
-    0 done, 1 the answer is no, 2 wrong use or input that does not read.
+    0: done; 1: the answer is no; 2: wrong usage or unreadable input.
     """
     import click
 
--- a/violetdoor/cli/commands.py
+++ b/violetdoor/cli/commands.py
@@ -1,4 +1,4 @@
-"""The root command, with `serve` and `demo`; each group of commands has a module of its own."""
+"""The root command with `serve` and `demo`; each group of commands has its own module."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from violetdoor.cli.config import config_group
 from violetdoor.cli.control import control_group
-from violetdoor.cli.exit_status import FILE, STATUS
+from violetdoor.cli.exit_status import EXIT_STATUS_HELP, FILE_TYPE
 from violetdoor.cli.faults import faults_group
 from violetdoor.cli.fleet import fleet_group
 from violetdoor.cli.rules import rules_group
@@ -22,13 +22,15 @@
 """
 
 
-@click.group(help=HELP, epilog=STATUS, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(help=HELP, epilog=EXIT_STATUS_HELP, context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
-    """Group all commands; `HELP` is what `--help` prints."""
+    """Group all commands; `--help` prints `HELP`."""
 
 
-@cli.command(epilog=STATUS)
-@click.option("--config", "path", type=FILE, help="An operator's file, TOML or JSON; else BALANCER_CONFIG.")
+@cli.command(epilog=EXIT_STATUS_HELP)
+@click.option(
+    "--config", "path", type=FILE_TYPE, help="An operator's file, TOML or JSON; else BALANCER_CONFIG."
+)
 def serve(path: Path | None) -> int:
     """Start a relay and serve until SIGTERM."""
     from violetdoor.serve import serve as run_relay
@@ -36,7 +38,7 @@
     return run_relay(path)
 
 
-@cli.command("demo", epilog=STATUS)
+@cli.command("demo", epilog=EXIT_STATUS_HELP)
 @click.option(
     "--fault",
     type=click.Choice(["none", "hang", "cut"]),
--- a/violetdoor/cli/config.py
+++ b/violetdoor/cli/config.py
@@ -7,8 +7,8 @@
 import click
 import orjson
 
-from violetdoor.cli.exit_status import FILE, STATUS
-from violetdoor.cli.rules import rules_faults
+from violetdoor.cli.exit_status import EXIT_STATUS_HELP, FILE_TYPE
+from violetdoor.cli.rules import rules_errors
 from violetdoor.configuration.control_form import ControlFile
 from violetdoor.configuration.errors import ConfigError
 from violetdoor.configuration.field_types import json_schema
@@ -26,12 +26,12 @@
     """Look at configuration files."""
 
 
-@config_group.command("check", epilog=STATUS)
-@click.argument("path", type=FILE)
+@config_group.command("check", epilog=EXIT_STATUS_HELP)
+@click.argument("path", type=FILE_TYPE)
 @click.option("--form", type=click.Choice(sorted(FORMS)), default="operator", show_default=True)
 def config_check(path: Path, form: str) -> int:
     """Say all faults of a configuration file and of the rules that it names, each with its place."""
-    lines = _configuration_faults(path, form)
+    lines = _configuration_errors(path, form)
     for line in lines:
         click.echo(line, err=True)
     if lines:
@@ -40,8 +40,8 @@
     return 0
 
 
-def _configuration_faults(path: Path, form: str) -> list[str]:
-    """Return all faults of a file, one a line."""
+def _configuration_errors(path: Path, form: str) -> list[str]:
+    """Return all errors in a file, one per line."""
     try:
         data = read_table(path)
         if form == "platform":
@@ -56,10 +56,10 @@
         config = translate_operator_form(operator, data, path)
     except ConfigError as error:
         return [str(error)]
-    return [] if config.rules is None else rules_faults(config.rules)
+    return [] if config.rules is None else rules_errors(config.rules)
 
 
-@config_group.command("schema", epilog=STATUS)
+@config_group.command("schema", epilog=EXIT_STATUS_HELP)
 @click.option("--form", type=click.Choice(sorted(FORMS)), default="operator", show_default=True)
 def config_schema(form: str) -> int:
     """Print the JSON Schema of a configuration file."""
--- a/violetdoor/cli/control.py
+++ b/violetdoor/cli/control.py
@@ -1,4 +1,4 @@
-"""`violetdoor control`: run a control machine, and print the status of one."""
+"""`violetdoor control`: run a control machine, or print the status of one."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 import click
 import orjson
 
-from violetdoor.cli.exit_status import FILE, STATUS, fail
+from violetdoor.cli.exit_status import EXIT_STATUS_HELP, FILE_TYPE, fail
 from violetdoor.cli.fleet import call_console
 
 
-@click.group("control", invoke_without_command=True, epilog=STATUS)
-@click.option("--config", "path", type=FILE, help="The control machine's file, TOML or JSON.")
+@click.group("control", invoke_without_command=True, epilog=EXIT_STATUS_HELP)
+@click.option("--config", "path", type=FILE_TYPE, help="The control machine's file, TOML or JSON.")
 @click.pass_context
 def control_group(context: click.Context, path: Path | None) -> int:
     """Run one of a region's control machines until SIGTERM; or see one."""
@@ -27,7 +27,7 @@
     return run_control_machine(path)
 
 
-@control_group.command("status", epilog=STATUS)
+@control_group.command("status", epilog=EXIT_STATUS_HELP)
 @click.option("--console", metavar="HOST:PORT", required=True, help="A control machine's console.")
 @click.option("--json", "as_json", is_flag=True, help="All of it, as JSON.")
 def status(console: str, *, as_json: bool) -> int:
@@ -45,7 +45,7 @@
 
 
 def _status_lines(state: dict[str, Any]) -> list[str]:
-    """Return the lines of a machine's state, which has the names of docs/operators/fleet-scale.md."""
+    """Format a machine's state as lines; docs/operators/fleet-scale.md explains its keys."""
     role = "leads" if state["leads"] else f"follows {state['leader'] or 'nobody'}"
     grants = "grants leases" if state["may_act"] else "no lease in its group: grants none"
     lines = [
--- a/violetdoor/cli/demo.py
+++ b/violetdoor/cli/demo.py
@@ -18,14 +18,14 @@
     from nats.aio.msg import Msg
 
 MESSAGE_INTERVAL_SECONDS = 0.1  # between two messages of the client
-FAULT_DELAY_SECONDS = 3.0  # from the start until the fault
+FAULT_DELAY_SECONDS = 3.0  # from the start of the demo until the fault
 RELAY_START_TIMEOUT_SECONDS = 20.0
-LAST_MESSAGES_TIMEOUT_SECONDS = 3.0  # for those that are on their way when the client stops sending
+LAST_MESSAGES_TIMEOUT_SECONDS = 3.0  # for messages in transit when the client stops sending
 LAST_MESSAGES_POLL_SECONDS = 0.02
 MESSAGES_PER_REPORT = 10
 FAULTS_BY_KEY = {"h": "hang", "c": "cut", "b": "heal"}
 REPORTED_COUNTERS = ("nats_placed", "nats_silent", "nats_broken", "publications_resent")
-REPORTED_LOG_TEXTS = ("unresponsive", "disconnected", "broke")  # in the relay's log lines on connections
+REPORTED_LOG_TEXTS = ("unresponsive", "disconnected", "broke")  # log lines of the relay to be printed
 SUBJECT = "bookings"
 RULES = """
 rule "the demo's client" when connect.name == "demo" { class = "booking"; tenant = "demo-club"; }
@@ -34,7 +34,7 @@
 
 
 class MessageCounts:
-    """What the client sent and received: every message carries its number."""
+    """Counts the messages that the client sent and received, which carry consecutive numbers."""
 
     def __init__(self) -> None:
         """Start with no message sent."""
@@ -46,11 +46,11 @@
 
     @property
     def received(self) -> int:
-        """Count the messages received, each once."""
+        """The number of messages received, without duplicates."""
         return len(self._received)
 
     def add_received(self, number: int) -> None:
-        """Count a message that came back."""
+        """Count a message that the client received."""
         now = time.monotonic()
         self.longest_gap_seconds = max(self.longest_gap_seconds, now - self.last_received_at)
         self.last_received_at = now
@@ -60,10 +60,10 @@
 
 
 class Demo:
-    """The toy servers, the relay and the client, and what is printed of them."""
+    """Runs the toy servers, the relay and the client, and prints what happens to them."""
 
     def __init__(self, fault: str, seconds: float) -> None:
-        """Prepare a run of so many seconds; the fault is `none`, `hang` or `cut`."""
+        """`fault` is `none`, `hang` or `cut`; `seconds` is the duration of the demo."""
         self.fault = fault
         self.seconds = seconds
         self.started_at = time.monotonic()
@@ -90,11 +90,11 @@
         return 0 if counts.received else 1
 
     def _print(self, text: str) -> None:
-        """Print one line with the time since the start."""
+        """Print one line, prefixed with the seconds since the start."""
         print(f"{time.monotonic() - self.started_at:6.2f} s  {text}", flush=True)
 
     async def _start_servers(self) -> dict[str, Any]:
-        """Start two toy servers; return the configuration of a relay before them."""
+        """Start two toy servers; return the configuration of a relay in front of them."""
         endpoints = []
         for name in ("toy-1", "toy-2"):
             port = await ToyServer(name, self.servers).start()
@@ -114,7 +114,7 @@
 
     @contextlib.asynccontextmanager
     async def _relay(self, config_path: Path) -> AsyncIterator[int]:
-        """Run a relay, with its log and the keys followed; yield the port that it listens on."""
+        """Run a relay, reading its log and the user's keys; yield the port that it listens on."""
         relay = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "violetdoor", "--config", str(config_path), stderr=asyncio.subprocess.PIPE
         )
@@ -134,7 +134,7 @@
     async def _follow_relay_log(
         self, relay: asyncio.subprocess.Process, listening_port: asyncio.Future[int]
     ) -> None:
-        """Set the port that the relay listens on, and print those of its log lines that matter here."""
+        """Set the port that the relay listens on, and print the log lines that the demo reports."""
         assert relay.stderr is not None
         while line := (await relay.stderr.readline()).decode():
             text = line.rstrip().partition(" violetdoor")[2].partition(" ")[2]
@@ -149,7 +149,7 @@
                 self._print(f"relay: {text}")
 
     async def _follow_keys(self) -> None:
-        """Inject a fault for each key, where standard input is a terminal."""
+        """Inject a fault for each key that the user enters, if standard input is a terminal."""
         if not sys.stdin.isatty():
             return
         reader = asyncio.StreamReader()
@@ -161,7 +161,7 @@
                 self._inject(fault)
 
     def _inject(self, fault: str) -> None:
-        """Let the server that has the client hang or cut its connections, or heal all servers."""
+        """Let the server that serves the client hang or cut its connections, or heal all servers."""
         if fault == "heal":
             for server in self.servers:
                 server.hanging = False
@@ -178,7 +178,7 @@
             self._print(f"fault: {serving.name} breaks its connections")
 
     def _serving(self) -> ToyServer | None:
-        """Return the server that has the client's subscription."""
+        """Return the server that has the client's subscription; None if no server has it."""
         return next((server for server in self.servers if server.subjects), None)
 
     def _serving_name(self) -> str:
@@ -186,7 +186,7 @@
         return serving.name if serving else "no server"
 
     async def _run_client(self, port: int) -> None:
-        """Publish numbers as a booking app does, and count what comes back on its subscription."""
+        """Publish numbers as a booking app does, and count the messages that its subscription receives."""
         import nats
 
         async def on_message(message: Msg) -> None:
@@ -206,7 +206,7 @@
         await client.close()
 
     async def _publish_numbers(self, client: Any) -> None:
-        """Publish until the demo's time is over; inject its fault once on the way."""
+        """Publish until the demo's duration is over; inject its fault once meanwhile."""
         counts = self.counts
         fault_injected = self.fault == "none"
         while time.monotonic() < self.started_at + self.seconds:
--- a/violetdoor/cli/exit_status.py
+++ b/violetdoor/cli/exit_status.py
@@ -1,4 +1,4 @@
-"""What all commands share: how they end, and the type of a file argument."""
+"""Shared by all commands: exit status, failing with a message, and the type of file parameters."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 import click
 
-STATUS = "Exit status: 0 done, 1 the answer is no, 2 wrong use or input that does not read."
-FILE = click.Path(dir_okay=False, path_type=Path)
+EXIT_STATUS_HELP = "Exit status: 0 done, 1 the answer is no, 2 wrong use or input that does not read."
+FILE_TYPE = click.Path(dir_okay=False, path_type=Path)
 
 
 def fail(text: str, status: int = 2) -> NoReturn:
-    """Print the reason on standard error and exit with a status."""
+    """Print a message on standard error and exit with a status."""
     click.echo(text, err=True)
     sys.exit(status)
--- a/violetdoor/cli/faults.py
+++ b/violetdoor/cli/faults.py
@@ -1,4 +1,4 @@
-"""`violetdoor faults`: scenarios with processes of the program, and faults between them."""
+"""`violetdoor faults`: run scenarios with processes of the program and injected faults between them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import click
 import msgspec
 
-from violetdoor.cli.exit_status import FILE, STATUS, fail
+from violetdoor.cli.exit_status import EXIT_STATUS_HELP, FILE_TYPE, fail
 from violetdoor.configuration.errors import ConfigError
 from violetdoor.configuration.field_types import json_schema
 from violetdoor.events import FLEET_VIEW
@@ -19,21 +19,21 @@
     from violetdoor.faults.history import History
     from violetdoor.faults.scenario import Scenario
 
-OUT = click.option(
+OUT_OPTION = click.option(
     "--out", type=click.Path(file_okay=False, path_type=Path), help="Keep histories and logs there."
 )
-MAX_TAIL_ROWS = 60  # of the shortest history that shows a failed check; earlier ones are not printed
+MAX_TAIL_ROWS = 60  # last rows printed of the shortest history that shows a failed check
 HISTORY_FILE = "history.parquet"
 PICTURE_FILE = "views.png"
 
 
-@click.group("faults", epilog=STATUS)
+@click.group("faults", epilog=EXIT_STATUS_HELP)
 def faults_group() -> None:
     """Play faults between relays, gate servers and clients on loopback. Wants the extra `lab`."""
 
 
 def _play(scenario: Scenario, out: Path | None) -> bool:
-    """Play one scenario, print how it went and return whether every check holds."""
+    """Play one scenario, print its result and return whether every check holds."""
     from violetdoor.faults import checks, rig
 
     folder = None if out is None else out / scenario.name
@@ -57,7 +57,7 @@
 
 
 def _save_history(history: History, folder: Path | None) -> None:
-    """Save a history in a folder, if there is one; exit with status 2 where pyarrow is missing."""
+    """Save a history in a folder, if one is given; exit with status 2 if pyarrow is missing."""
     if folder is None:
         return
     try:
@@ -71,10 +71,10 @@
     return 0 if all(results) else 1
 
 
-@faults_group.command("run", epilog=STATUS)
-@click.argument("paths", metavar="FILE...", type=FILE, nargs=-1, required=True)
+@faults_group.command("run", epilog=EXIT_STATUS_HELP)
+@click.argument("paths", metavar="FILE...", type=FILE_TYPE, nargs=-1, required=True)
 @click.option("--seed", type=int, help="In place of the files' own.")
-@OUT
+@OUT_OPTION
 def faults_run(paths: tuple[Path, ...], seed: int | None, out: Path | None) -> int:
     """Play the scenarios of these files; status 1 if a check does not hold, with the tail that shows it."""
     from violetdoor.faults.scenario import read
@@ -89,11 +89,11 @@
     return _exit_status([_play(scenario, out) for scenario in scenarios])
 
 
-@faults_group.command("random", epilog=STATUS)
+@faults_group.command("random", epilog=EXIT_STATUS_HELP)
 @click.option("--count", type=click.IntRange(1, 100_000), default=1, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True, help="Of the first one.")
 @click.option("--seconds", type=click.FloatRange(30.0, 3600.0), default=60.0, show_default=True)
-@OUT
+@OUT_OPTION
 @click.option("--print", "show", is_flag=True, help="Print the schedules and play none.")
 def faults_random(count: int, seed: int, seconds: float, out: Path | None, *, show: bool) -> int:
     """Draw schedules and play them."""
@@ -110,7 +110,7 @@
     return _exit_status(results)
 
 
-@faults_group.command("schema", epilog=STATUS)
+@faults_group.command("schema", epilog=EXIT_STATUS_HELP)
 def faults_schema() -> int:
     """Print the JSON Schema of a scenario's file."""
     import orjson
@@ -121,7 +121,7 @@
     return 0
 
 
-@faults_group.command("report", epilog=STATUS)
+@faults_group.command("report", epilog=EXIT_STATUS_HELP)
 @click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
 def faults_report(folder: Path) -> int:
     """Draw each history below a folder: a row a relay, its view's number over time, faults as bands."""
--- a/violetdoor/cli/fleet.py
+++ b/violetdoor/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`violetdoor fleet`: what a relay knows of its fleet, and an operator's last resort."""
+"""`violetdoor fleet`: print a relay's state of its fleet, leave the fleet, or force it to go on."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 import click
 import orjson
 
-from violetdoor.cli.exit_status import FILE, STATUS, fail
+from violetdoor.cli.exit_status import EXIT_STATUS_HELP, FILE_TYPE, fail
 from violetdoor.configuration.errors import ConfigError
 from violetdoor.configuration.files import read_table
 
-CONSOLE_TIMEOUT_SECONDS = 3.0  # for each step of a call: connect, send, receive
+CONSOLE_TIMEOUT_SECONDS = 3.0  # for each step of a call: connecting, sending, receiving
 
 Callback = TypeVar("Callback", bound=Callable[..., int])
 
 
 class ConsoleResponse(NamedTuple):
-    """What a console responds to a call."""
+    """A console's response to a call."""
 
-    status: int  # of HTTP
+    status: int  # HTTP status
     text: str
 
 
 def _console_options(command: Callback) -> Callback:
     console = click.option("--console", metavar="HOST:PORT", help="A relay's console.")
-    path = click.option("--config", "path", type=FILE, help="Or the operator's file that names it.")
+    path = click.option("--config", "path", type=FILE_TYPE, help="Or the operator's file that names it.")
     return console(path(command))
 
 
 def call_console(
     method: str, call: str, console: str | None, config_path: Path | None = None
 ) -> ConsoleResponse:
-    """Call a console at HOST:PORT, else the one that an operator's file names.
+    """Call the console at HOST:PORT, or, if `console` is None, the one that an operator's file names.
 
-    Prints the reason and exits with status 2 where there is none or where none responds.
+    Prints the reason and exits with status 2 if no console is given or none responds.
     """
     if console is None and config_path is not None:
         try:
@@ -59,7 +59,7 @@
 
 
 def _fleet_state(console: str | None, path: Path | None) -> dict[str, Any]:
-    """Return a relay's state of the fleet, by the names that docs/operators/fleet-view.md gives."""
+    """Return a relay's state of the fleet; docs/operators/fleet-view.md explains its keys."""
     response = call_console("GET", "/fleet", console, path)
     if response.status != HTTPStatus.OK:
         fail("this relay is in no fleet: its file has no [fleet] table", 1)
@@ -67,12 +67,12 @@
     return state
 
 
-@click.group("fleet", epilog=STATUS)
+@click.group("fleet", epilog=EXIT_STATUS_HELP)
 def fleet_group() -> None:
     """See the fleet as one of its relays does, and act on it."""
 
 
-@fleet_group.command("view", epilog=STATUS)
+@fleet_group.command("view", epilog=EXIT_STATUS_HELP)
 @_console_options
 def show_view(console: str | None, path: Path | None) -> int:
     """Print the view that a relay stands at; status 1 where it holds no lease."""
@@ -91,12 +91,12 @@
     return 0 if may_act else 1
 
 
-@fleet_group.command("members", epilog=STATUS)
+@fleet_group.command("members", epilog=EXIT_STATUS_HELP)
 @_console_options
 def members(console: str | None, path: Path | None) -> int:
     """Print who is in the view, and how each is from here."""
     state = _fleet_state(console, path)
-    if "region" in state:  # attached: how the others are is known to the control machines
+    if "region" in state:  # attached: only the control machines know the health of the other relays
         for name in state["members"]:
             click.echo(name)
         return 0
@@ -108,7 +108,7 @@
     return 0
 
 
-@fleet_group.command("leave", epilog=STATUS)
+@fleet_group.command("leave", epilog=EXIT_STATUS_HELP)
 @_console_options
 def leave(console: str | None, path: Path | None) -> int:
     """Let a relay leave its fleet; it serves on, alone."""
@@ -117,7 +117,7 @@
     return 0 if response.status == HTTPStatus.OK else 1
 
 
-@fleet_group.command("force", epilog=STATUS)
+@fleet_group.command("force", epilog=EXIT_STATUS_HELP)
 @_console_options
 @click.option("--yes", is_flag=True, help="Don't ask whether the others are surely gone.")
 def force(console: str | None, path: Path | None, *, yes: bool) -> int:
--- a/violetdoor/cli/rules.py
+++ b/violetdoor/cli/rules.py
@@ -1,4 +1,4 @@
-"""`violetdoor rules`: check, explain, test and measure match rules."""
+"""`violetdoor rules`: check, explain, test and benchmark match rules."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import msgspec
 import orjson
 
-from violetdoor.cli.exit_status import FILE, STATUS, fail
+from violetdoor.cli.exit_status import EXIT_STATUS_HELP, FILE_TYPE, fail
 from violetdoor.configuration.errors import ConfigError
 from violetdoor.configuration.files import read_table
 from violetdoor.configuration.operator_config import load_operator_config
@@ -23,14 +23,16 @@
     from violetdoor.match.runtime import Request, RuleSet
     from violetdoor.rules.source import RulesSource
 
-DEFAULT_FRONT = "nats"  # whose requests a file of rules decides where no option names a front
-CONFIG_SUFFIXES = (".toml", ".json")  # of an operator's configuration; any other file is one of rules
+DEFAULT_FRONT = "nats"  # the front that a file of rules applies to, unless an option names one
+CONFIG_SUFFIXES = (".toml", ".json")  # of operators' configurations; any other file contains rules
 NS_PER_US = 1000
 
-FRONT = click.option(
+FRONT_OPTION = click.option(
     "--front", type=click.Choice(["line", "nats"]), help="Whose requests; else the configuration's."
 )
-LIMIT = click.option("--limit-us", type=float, help="Cost that a set may have; else the configuration's.")
+LIMIT_OPTION = click.option(
+    "--limit-us", type=float, help="Cost that a set may have; else the configuration's."
+)
 
 
 @click.group("rules")
@@ -41,8 +43,8 @@
     """
 
 
-def rules_faults(source: RulesSource) -> list[str]:
-    """Return the faults of a set of rules, one a line; none if it compiles."""
+def rules_errors(source: RulesSource) -> list[str]:
+    """Return the errors in a set of rules, one per line; empty if it compiles."""
     from violetdoor.match.faults import RulesError
     from violetdoor.rules.worker import compile_source
 
@@ -54,17 +56,17 @@
 
 
 def _load_rules(path: Path, front: str | None, limit_us: float | None = None) -> Loaded:
-    """Return the compiled rules of a file; print the faults and exit with status 2 where there are any.
+    """Return the compiled rules of a file; if there are errors, print them and exit with status 2.
 
-    The front and the cost limit (microseconds a request) take the place of the file's own.
+    `front` and `limit_us` (cost limit, microseconds per request) take precedence over the file's values.
     """
     from violetdoor.match.faults import RulesError
     from violetdoor.rules.worker import compile_source
 
     if path.suffix in CONFIG_SUFFIXES:
-        source = _source_of_configuration(path)
+        source = _rules_from_configuration(path)
     else:
-        source = _source_of_rules_file(path, front)
+        source = _rules_from_file(path, front)
     if limit_us is not None or front is not None:
         source = replace(source, limit_us=limit_us or source.limit_us, front=front or source.front)
     try:
@@ -73,7 +75,7 @@
         fail(str(error))
 
 
-def _source_of_configuration(path: Path) -> RulesSource:
+def _rules_from_configuration(path: Path) -> RulesSource:
     try:
         config = load_operator_config(path)
     except ConfigError as error:
@@ -83,7 +85,7 @@
     return config.rules
 
 
-def _source_of_rules_file(path: Path, front: str | None) -> RulesSource:
+def _rules_from_file(path: Path, front: str | None) -> RulesSource:
     from violetdoor.match.load import LIMIT_US
     from violetdoor.rules.source import RulesSource
 
@@ -102,14 +104,14 @@
 
 
 def _reason(error: Exception) -> object:
-    """Return the operating system's words for an error if it has any, else the error."""
+    """Return the operating system's message for an error if there is one, else the error."""
     return getattr(error, "strerror", None) or error
 
 
-@rules_group.command("check", epilog=STATUS)
-@click.argument("path", type=FILE)
-@FRONT
-@LIMIT
+@rules_group.command("check", epilog=EXIT_STATUS_HELP)
+@click.argument("path", type=FILE_TYPE)
+@FRONT_OPTION
+@LIMIT_OPTION
 def rules_check(path: Path, front: str | None, limit_us: float | None) -> int:
     """Say all faults of rules, or what they cost a request at the worst."""
     loaded = _load_rules(path, front, limit_us)
@@ -123,10 +125,10 @@
     return 0
 
 
-@rules_group.command("explain", epilog=STATUS)
-@click.argument("path", type=FILE)
+@rules_group.command("explain", epilog=EXIT_STATUS_HELP)
+@click.argument("path", type=FILE_TYPE)
 @click.argument("request_text", metavar="REQUEST")
-@FRONT
+@FRONT_OPTION
 @click.option("--json", "as_json", is_flag=True, help="The same as JSON.")
 def rules_explain(path: Path, request_text: str, front: str | None, *, as_json: bool) -> int:
     """Show which rule decides a REQUEST, given as JSON or @FILE, and why those before it did not."""
@@ -142,7 +144,7 @@
 
 
 def _read_request(request_text: str, loaded: Loaded) -> Request:
-    """Return the request that JSON or @FILE holds; exit with status 2 where it doesn't read."""
+    """Return the request given as JSON or @FILE; exit with status 2 if it can't be read."""
     from violetdoor.match.values import RequestError, request_from
 
     try:
@@ -186,10 +188,10 @@
     return f"line {step.line}: {step.rule!r} no: {step.term}{operands}{cost}"
 
 
-@rules_group.command("test", epilog=STATUS)
-@click.argument("path", type=FILE)
-@click.argument("cases_path", metavar="CASES", type=FILE)
-@FRONT
+@rules_group.command("test", epilog=EXIT_STATUS_HELP)
+@click.argument("path", type=FILE_TYPE)
+@click.argument("cases_path", metavar="CASES", type=FILE_TYPE)
+@FRONT_OPTION
 def rules_test(path: Path, cases_path: Path, front: str | None) -> int:
     """Run the cases of a TOML or JSON file against rules; status 1 if one of them differs."""
     from violetdoor.match.cases import run
@@ -216,10 +218,10 @@
     return read(read_table(path))
 
 
-@rules_group.command("bench", epilog=STATUS)
-@click.argument("path", type=FILE)
-@click.argument("cases_path", metavar="CASES", type=FILE)
-@FRONT
+@rules_group.command("bench", epilog=EXIT_STATUS_HELP)
+@click.argument("path", type=FILE_TYPE)
+@click.argument("cases_path", metavar="CASES", type=FILE_TYPE)
+@FRONT_OPTION
 @click.option("--rounds", type=click.IntRange(1, 1_000_000), default=2000, show_default=True)
 def rules_bench(path: Path, cases_path: Path, front: str | None, rounds: int) -> int:
     """Measure how long the rules take to decide the requests of a file of cases."""
@@ -247,7 +249,7 @@
 
 
 def _decision_durations_ns(rules: RuleSet, requests: list[Request], rounds: int) -> list[int]:
-    """Decide each request once a round; return how long each decision took."""
+    """Decide each request once per round; return the duration of each decision."""
     durations_ns = []
     for _ in range(rounds):
         for request in requests:
