--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration files: forms, violations with their places, and the values that a relay gets out of them."""
+"""Configuration files: forms, violations with their locations, and the resulting configuration of a relay."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 @pytest.fixture
 def platform_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """A sound file of the platform's, which the environment names."""
+    """A valid file of the platform, named by the environment."""
     path = tmp_path / "platform.json"
     path.write_bytes(orjson.dumps(PLATFORM_FILE))
     monkeypatch.setenv("BALANCER_CONFIG", str(path))
@@ -136,7 +136,7 @@
     assert from_toml.deadlines == from_json.deadlines
 
 
-# How fast data is drawn says nothing of the forms: on a busy machine that check alone may fail.
+# The health check for slow data generation is off: it fails on a busy machine, whatever the forms do.
 @settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(json_values)
 def test_any_data_gives_a_form_or_violations(data: Any) -> None:
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -1,4 +1,4 @@
-"""The platform's file: what the program says of a value that it can't use."""
+"""The platform's file: error messages for invalid values."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def platform_file(path: Path, **class_values: Any) -> Path:
-    """Write a file whose one request class has these values, too."""
+    """Write a platform's file; `class_values` are added to those of its only request class."""
     settings = {"classes": [REQUEST_CLASS | class_values], "policyLimits": {"sendCap": 1}}
     data = {
         "name": "r1",
@@ -32,7 +32,7 @@
 def test_unknown_deduplication_scope_is_named_in_the_operators_words(
     word: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The text is that of revision 300e9a1: it doesn't follow the names of our types."""
+    """The error text is that of revision 300e9a1, although the names of the types have changed since."""
     path = platform_file(tmp_path / "relay.json", dedupScope=word)
     monkeypatch.setenv(FILE_VARIABLE, str(path))
     with pytest.raises(ConfigError) as caught:
--- a/tests/test_recorded_commands.py
+++ b/tests/test_recorded_commands.py
@@ -1,4 +1,4 @@
-"""Commands, options, exit statuses and errors of files, against those recorded from revision 300e9a1."""
+"""Commands, options, exit statuses and errors of files are those recorded from revision 300e9a1."""
 
 from __future__ import annotations
 
--- a/tests/test_recorded_console.py
+++ b/tests/test_recorded_console.py
@@ -1,4 +1,4 @@
-"""Console calls, statsd text and counters of real programs, against the forms recorded from revision 300e9a1."""
+"""Console calls, statsd text and counters of real programs have the form recorded from revision 300e9a1."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 from recorded import record_forms
 
-# What /overload says of the relay's load at that moment: a busy machine changes the value, not the form.
+# Values in /overload that depend on the current load: a busy machine changes them, but not the form.
 LOAD_VALUES = re.compile(
     r'"(?:(level) (?:calm|cautious|shedding|severe)'
     r'|(cause) (?:none|delay|cpu|memory|descriptors|backlog|queued))"'
@@ -17,7 +17,7 @@
 
 
 def text_of(forms: object) -> str:
-    """Return the forms as text, with the values of load masked; a word that is none of them stays."""
+    """Return the forms as text with the known load values masked; an unknown value stays and fails the test."""
     return LOAD_VALUES.sub(lambda found: f'"{found[1] or found[2]} VALUE"', json.dumps(forms, indent=1))
 
 
@@ -29,13 +29,15 @@
     forms, names = record_forms.run_scenario(scenario, tmp_path)
     assert text_of(forms) == text_of(recorded["forms"])
     assert names.keys() == recorded["names"].keys()
-    by_chance = "|".join(record_forms.load_recording("stats_names"))
+    optional_names = "|".join(record_forms.load_recording("stats_names"))
     for place, seen in names.items():
         always, sometimes = (set(recorded["names"][place][kind]) for kind in ("always", "sometimes"))
         assert always <= set(seen), place
         for name in set(seen) - always - sometimes:
             plain = re.sub(r"^svc\.|\|c$", "", name)
-            assert re.fullmatch(by_chance, plain) or re.fullmatch(by_chance, plain.replace("_", " ")), place
+            assert re.fullmatch(optional_names, plain) or re.fullmatch(
+                optional_names, plain.replace("_", " ")
+            ), place
 
 
 @pytest.mark.parametrize(
--- a/tests/test_recorded_schema.py
+++ b/tests/test_recorded_schema.py
@@ -1,4 +1,4 @@
-"""The schemas that the command line prints, against those recorded from revision 300e9a1."""
+"""The schemas that the command line prints are those recorded from revision 300e9a1."""
 
 from __future__ import annotations
 
