--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console: health, figures and callers that say nothing, of the real program."""
+"""The console of the real program: health, metrics, bans, and callers that send no complete call."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
             assert sum(first.values()) == 1
             reader, writer = await open_client(it)
             assert await read_line(reader) == b"UP r1\r\n"
-            seen = await it.figures()
-            assert (seen["ok.checkin"], seen["tries.checkin"], seen["active"]) == (1, 1, 1)
+            metrics = await it.figures()
+            assert (metrics["ok.checkin"], metrics["tries.checkin"], metrics["active"]) == (1, 1, 1)
             server.first = b"ERR\r\n"
             refused, _ = await open_client(it, b"c=checkin,t=acme,d=200")
             assert (await read_line(refused)).startswith(b"BUSY")
             writer.close()
             await until(lambda: server.ended == 2)
-            seen = await it.figures()
-            assert (seen["ok.checkin"], seen["shed.checkin"], seen["errors.checkin"]) == (1, 1, 0)
-            assert seen["tries.checkin"] == len(server.opened)
-            assert seen["active"] == 0
+            metrics = await it.figures()
+            assert (metrics["ok.checkin"], metrics["shed.checkin"], metrics["errors.checkin"]) == (1, 1, 0)
+            assert metrics["tries.checkin"] == len(server.opened)
+            assert metrics["active"] == 0
 
     run(test)
 
 
 def test_idle_and_incomplete_calls_do_not_delay_complete_ones(tmp_path: Path) -> None:
-    """Guards against operators that stay, more of them than there are places."""
+    """Guards against more idle callers than MAX_CALLERS, which would keep the console from answering others."""
 
     async def test() -> None:
         async with Discovery() as discovery, start_relay(tmp_path, discovery) as it:
@@ -56,7 +56,7 @@
             for _ in range(3):
                 async with asyncio.timeout(1.0):
                     assert (await it.call("GET /healthcheck"))[0] == 200
-            async with asyncio.timeout(PATIENCE):  # all of them are sent away in the end
+            async with asyncio.timeout(PATIENCE):  # all of them are disconnected in the end
                 for reader, writer in callers:
                     with contextlib.suppress(ConnectionError):
                         await reader.read(-1)
@@ -103,19 +103,19 @@
             async with relay("--config", str(path)) as it:
                 assert (await it.call("GET /healthcheck"))[0] == 200
                 client = await connect("nats://{}:{}".format(*it.address))
-                seen = await figures_with(it, "ok.feed")
-                assert [seen[n] for n in ("ok.feed", "tries.feed", "active", "pool_size")] == [1] * 4
+                metrics = await figures_with(it, "ok.feed")
+                assert [metrics[n] for n in ("ok.feed", "tries.feed", "active", "pool_size")] == [1] * 4
                 await client.close()
 
     run(test)
 
 
 async def figures_with(it: Relay, name: str) -> dict[str, int]:
-    """The figures once this one has begun to count."""
+    """Return the metrics once the one with this name is not 0."""
     async with asyncio.timeout(PATIENCE):
-        while not (seen := await it.figures())[name]:
+        while not (metrics := await it.figures())[name]:
             await asyncio.sleep(0.01)
-    return seen
+    return metrics
 
 
 def test_ban_outlasts_list_changes_and_lifting_it_brings_requests_back(tmp_path: Path) -> None:
@@ -124,27 +124,28 @@
         async with relay_with_servers(tmp_path, *servers) as (it, discovery):
             clients = [await open_client(it) for _ in range(6)]
             assert [await read_line(reader) for reader, _ in clients] == [b"UP r1\r\n"] * 6
-            away = max(servers, key=lambda s: len(s.opened))  # the group's home
-            stood, name = len(away.opened), f"s-{away.address}"
-            assert stood
+            banned = max(servers, key=lambda s: len(s.opened))  # the group's home server
+            request_count, name = len(banned.opened), f"s-{banned.address}"
+            assert request_count
             assert (await it.call("PUT /gate-servers/s-nobody/maint"))[0] == 404
             assert (await it.call("PUT /gate-servers/s-nobody/ready"))[0] == 404
             for _ in range(2):
                 assert (await it.call(f"PUT /gate-servers/{name}/maint"))[0] == 200
             assert (await it.figures())["pool_ejected"] == 1
-            await until(lambda: away.ended == stood)  # those that stood there were moved
+            # All requests on the banned server migrate.
+            await until(lambda: banned.ended == request_count)
             for state in ("removed", "up"):
                 changes = await read_counter(it, "discovery_changes")
-                discovery.tell(away, state)
+                discovery.tell(banned, state)
                 while await read_counter(it, "discovery_changes") == changes:
                     await asyncio.sleep(0.01)
                 reader, _ = await open_client(it)
                 assert await read_line(reader) == b"UP r1\r\n"
-            assert len(away.opened) == stood
+            assert len(banned.opened) == request_count
             assert (await it.call(f"PUT /gate-servers/{name}/ready"))[0] == 200
             assert (await it.figures())["pool_ejected"] == 0
             async with asyncio.timeout(5):
-                while len(away.opened) == stood:
+                while len(banned.opened) == request_count:
                     reader, writer = await open_client(it)
                     assert await read_line(reader) == b"UP r1\r\n"
                     writer.close()
@@ -167,7 +168,10 @@
 
 
 def test_sighup_applies_a_complete_configuration_or_none(tmp_path: Path) -> None:
-    """A class comes, another goes, attempts drop; clients under way stay; no broken file changes anything."""
+    """A reload adds a class, removes one and lowers the attempts; connected clients stay.
+
+    Files that are incomplete or invalid change nothing.
+    """
 
     async def test() -> None:
         server = GateServer()
@@ -175,7 +179,7 @@
             path = tmp_path / "config.json"
             data = json.loads(path.read_text())
 
-            async def hup(text: str, figure: str) -> None:
+            async def reload_and_wait(text: str, figure: str) -> None:
                 before = (await it.figures())[figure]
                 path.write_text(text)
                 it.process.send_signal(signal.SIGHUP)
@@ -201,12 +205,12 @@
                 json.dumps(new | {"settings": {k: v for k, v in new["settings"].items() if k != "rules"}}),
             ]  # fmt: skip
             for text in broken:
-                await hup(text, "config_rejected")
+                await reload_and_wait(text, "config_rejected")
             reader, _ = await open_client(it, b"c=door,d=1000")
             assert await read_line(reader) == b"ERR\r\n"
             kept = await open_client(it)
             assert await read_line(kept[0]) == b"UP r1\r\n"
-            await hup(json.dumps(new), "config_applied")
+            await reload_and_wait(json.dumps(new), "config_applied")
             figures = await it.figures()
             assert figures["config_rejected"] == len(broken)
             assert figures["ok.door"] == 0
@@ -216,12 +220,12 @@
             assert await read_line(reader) == b"ERR\r\n"
             old_writer.write(b"M 1\r\n")
             assert await read_line(old) == b"re M 1\r\n"
-            # At most once, and one attempt: what may have run is not tried again, nor said to be harmless.
+            # At most once, one attempt: a request that may have run is neither retried nor rejected as not run.
             server.first, tried = b"ERR\r\n", len(server.opened)
             reader, _ = await open_client(it, b"c=door,d=1000")
             assert await read_line(reader) == b"ERR\r\n"
             assert len(server.opened) == tried + 1
-            seen = await it.figures()
-            assert (seen["errors.door"], seen["errors.checkin"], seen["active"]) == (1, 1, 3)
+            metrics = await it.figures()
+            assert (metrics["errors.door"], metrics["errors.checkin"], metrics["active"]) == (1, 1, 3)
 
     run(test)
--- a/tests/test_recorded_bans.py
+++ b/tests/test_recorded_bans.py
@@ -1,4 +1,4 @@
-"""The bans file and the shared map's entries for bans and drains: the bytes of revision 300e9a1."""
+"""The bans file and the shared map's entries for bans and drains are byte for byte those of revision 300e9a1."""
 
 from __future__ import annotations
 
@@ -34,29 +34,29 @@
 
 
 def shared(folder: Path) -> tuple[Process, SharedServerStates, list[tuple[str, float | None]]]:
-    """A relay of a fleet that lists `s-file`, and what it puts into the shared map."""
-    process, puts = Process(folder, "line"), list[tuple[str, float | None]]()
+    """Return a relay of a fleet whose server list has `s-file`, and the entries that it sets in the shared map."""
+    process, shared_entries = Process(folder, "line"), list[tuple[str, float | None]]()
 
     def put(key: str, value: float | None) -> bool:
-        puts.append((key, value))
+        shared_entries.append((key, value))
         return True
 
-    return process, SharedServerStates(process.program, put), puts
+    return process, SharedServerStates(process.program, put), shared_entries
 
 
 def shared_keys(folder: Path) -> str:
-    """The shared map's entries for a ban, its end and a drain; the drain's time is masked."""
-    process, _, puts = shared(folder)
+    """Return the shared map's entries for a ban, its lifting and a drain; the drain's time is masked."""
+    process, _, shared_entries = shared(folder)
     assert process.maintenance.handle_call("PUT", ["gate-servers", "s-file", "maint"])
     assert process.maintenance.handle_call("PUT", ["gate-servers", "s-file", "ready"])
     process.core.mark_draining("s-file")
     process.program.front.acceptor.sock.close()
-    assert puts[2][1] is not None
-    return json.dumps([*puts[:2], (puts[2][0], "TIME"), *puts[3:]])
+    assert shared_entries[2][1] is not None
+    return json.dumps([*shared_entries[:2], (shared_entries[2][0], "TIME"), *shared_entries[3:]])
 
 
 async def sample(folder: Path) -> dict[str, str]:
-    """What the program writes after each of a row of bans and returns."""
+    """Return what the program has written after each step of a series of bans and lifted bans."""
     path = folder / "violetdoor-n1.bans"
     bans = BanStore(controller(), path)
     values = {}
@@ -105,7 +105,7 @@
 
 def test_recorded_entries_of_the_shared_map_are_applied(tmp_path: Path) -> None:
     async def test() -> None:
-        process, servers, puts = shared(tmp_path)
+        process, servers, shared_entries = shared(tmp_path)
         (ban, since), (lift, none), (drain, _) = json.loads(recorded()["shared_map"])
         servers.apply(ban, since)
         assert process.core.overrides.bans == {"s-file": since}
@@ -114,7 +114,7 @@
         assert process.core.accepts_new_work("s-file")
         servers.apply(drain, time.time() * 1000)
         assert not process.core.accepts_new_work("s-file")
-        assert not puts
+        assert not shared_entries
         process.program.front.acceptor.sock.close()
 
     run(test)
