--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""Tests that fail for a real fault which is not mended yet: KNOWN-RED.txt at the root names them.
+"""Known failures: KNOWN-RED.txt at the root lists tests that fail because of a bug that is not fixed yet.
 
-A line each, `tests/FILE.py::TEST | cause | issue`, three at most. A listed test is expected to fail: one that
-passes fails the run, since its line has to go, and so does a line that is not sound. The list stands at the end
-of every run. Without such tests the file is absent.
+It has one line per test, `tests/FILE.py::TEST | cause | issue`, and at most three lines. A listed test is
+expected to fail: the run fails if it passes, since its line has to be removed, or if a line is invalid. The
+list is printed at the end of every run. Without known failures the file is absent.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 import pytest
 
-FILE, MOST = "KNOWN-RED.txt", 3
+FILE, MAX_LISTED = "KNOWN-RED.txt", 3
 
 
 @dataclass(frozen=True)
@@ -23,12 +23,12 @@
     issue: str
 
     def names(self, item: str) -> bool:
-        """Whether it names this test, or all that are made of it."""
+        """Return whether the entry names this test, or the function that this parametrized test belongs to."""
         return item == self.test or item.split("[")[0] == self.test
 
 
-def read(root: Path) -> list[KnownRed]:
-    """The list; UsageError where a line is not sound or there are too many."""
+def read_known_reds(root: Path) -> list[KnownRed]:
+    """Return the listed tests; raises UsageError if a line is invalid or there are too many."""
     try:
         lines = (root / FILE).read_text().splitlines()
     except FileNotFoundError:
@@ -41,16 +41,16 @@
         if len(parts) != 3 or not all(parts):
             raise pytest.UsageError(f"{FILE}:{number}: expected 'test | cause | issue'")
         red = KnownRed(*parts)
-        if not exists(root, red.test):
+        if not has_test(root, red.test):
             raise pytest.UsageError(f"{FILE}:{number}: no test {red.test!r}")
         found.append(red)
-    if len(found) > MOST:
-        raise pytest.UsageError(f"{FILE}: {len(found)} tests, {MOST} at most")
+    if len(found) > MAX_LISTED:
+        raise pytest.UsageError(f"{FILE}: {len(found)} tests, {MAX_LISTED} at most")
     return found
 
 
-def exists(root: Path, test: str) -> bool:
-    """Whether a file has a test function of this name."""
+def has_test(root: Path, test: str) -> bool:
+    """Return whether the file has a test function of this name."""
     path, _, name = test.partition("::")
     try:
         tree = ast.parse((root / path).read_text())
@@ -65,12 +65,12 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    config.stash[REDS], config.stash[RUN] = read(config.rootpath), set()
+    config.stash[REDS], config.stash[RUN] = read_known_reds(config.rootpath), set()
     config.pluginmanager.register(_Seen(config), "known-red-seen")
 
 
 class _Seen:
-    """Keeps the names of the tests that ran, wherever they ran."""
+    """Records the names of the tests that ran, in this process or in a worker."""
 
     def __init__(self, config: pytest.Config) -> None:
         self.config = config
@@ -87,7 +87,7 @@
 
 
 def pytest_sessionfinish(session: pytest.Session) -> None:
-    """A listed test of a file that ran as a whole has to have run: guards against a name of no case."""
+    """Fail the run if a listed test did not run although its whole file did: no such parametrized case exists."""
     config = session.config
     partly = bool(config.option.keyword or config.option.markexpr or any("::" in arg for arg in config.args))
     if hasattr(config, "workerinput") or partly or config.option.collectonly:
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Which module may import which: no circles anywhere, and neither sockets nor event loops where decisions are made."""
+"""Import rules: no import cycles, and no input or output reachable from modules that make decisions."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from standins import ROOT
 
 PACKAGES = ("violetdoor",)
-# Packages that decide, without input or output, and the modules of each that are drivers of it.
-DECIDING: dict[str, set[str]] = {
+# Packages that make decisions without input or output, and the modules of each that do its input and output.
+DECISION_PACKAGES: dict[str, set[str]] = {
     "violetdoor.balancing": set(),
     "violetdoor.simhost": set(),
     "violetdoor.match": set(),
@@ -31,9 +31,8 @@
     },
     "violetdoor.overload": {"meter", "service"},
 }
-SAYS_SO = re.compile(
-    r"\b(without|no) (input or output|I/O)\b", re.IGNORECASE
-)  # a module that decides, elsewhere
+# In the docstring of a module of another package, marks that it makes decisions without input or output.
+NO_IO_PHRASE = re.compile(r"\b(without|no) (input or output|I/O)\b", re.IGNORECASE)
 INPUT_OUTPUT = {
     "asyncio",
     "http",
@@ -45,12 +44,13 @@
     "subprocess",
     "uvloop",
 }
-PURE = {"AF_INET", "AF_INET6", "inet_ntop", "inet_pton"}  # of `socket`: what only reckons with addresses
+# Members of `socket` that only convert addresses.
+PURE_SOCKET_MEMBERS = {"AF_INET", "AF_INET6", "inet_ntop", "inet_pton"}
 
 
 @dataclass
 class Module:
-    """One module: what its doc comment says, and what it imports, for type checking, too."""
+    """One module: its docstring, and its imports, including those for type checking only."""
 
     doc: str
     project: set[str] = field(default_factory=set)  # modules of the project
@@ -58,7 +58,7 @@
 
 
 def modules(root: Path) -> dict[str, Module]:
-    """All modules of the project by name."""
+    """Return all modules of the project by name."""
     paths = {}
     for package in PACKAGES:
         for path in (root / package).rglob("*.py"):
@@ -80,13 +80,15 @@
                 target = f"{source}.{member}" if f"{source}.{member}" in paths else source
                 if target in paths and target != name:
                     module.project.add(target)
-                elif target.partition(".")[0] in INPUT_OUTPUT and not (target == "socket" and member in PURE):
+                elif target.partition(".")[0] in INPUT_OUTPUT and not (
+                    target == "socket" and member in PURE_SOCKET_MEMBERS
+                ):
                     module.input_output.add(target)
     return found
 
 
-def circle(graph: dict[str, Module]) -> list[str]:
-    """The modules of one circle, nothing where there is none."""
+def import_cycle(graph: dict[str, Module]) -> list[str]:
+    """Return the modules of one import cycle; empty if there is no cycle."""
     try:
         TopologicalSorter({name: module.project for name, module in graph.items()}).prepare()
     except CycleError as err:
@@ -94,24 +96,24 @@
     return []
 
 
-def decides(name: str, module: Module) -> bool:
-    """Whether a module makes decisions, without input or output."""
+def makes_decisions(name: str, module: Module) -> bool:
+    """Return whether a module makes decisions without input or output."""
     package, _, last = name.rpartition(".")
-    if package in DECIDING:
-        return last not in DECIDING[package]
-    return name in DECIDING or SAYS_SO.search(module.doc) is not None
+    if package in DECISION_PACKAGES:
+        return last not in DECISION_PACKAGES[package]
+    return name in DECISION_PACKAGES or NO_IO_PHRASE.search(module.doc) is not None
 
 
 def input_output(graph: dict[str, Module]) -> list[str]:
-    """Each way from a module that decides to one that does input or output."""
+    """Return each import path from a module that makes decisions to one for input or output."""
     found = []
-    for name in sorted(n for n, module in graph.items() if decides(n, module)):
+    for name in sorted(n for n, module in graph.items() if makes_decisions(n, module)):
         seen, waiting = {name}, [[name]]
         while waiting:
-            way = waiting.pop()
-            module = graph[way[-1]]
-            found += [" -> ".join([*way, one]) for one in sorted(module.input_output)]
-            waiting += [[*way, one] for one in sorted(module.project - seen)]
+            import_path = waiting.pop()
+            module = graph[import_path[-1]]
+            found += [" -> ".join([*import_path, one]) for one in sorted(module.input_output)]
+            waiting += [[*import_path, one] for one in sorted(module.project - seen)]
             seen |= module.project
     return found
 
@@ -119,12 +121,12 @@
 def test_there_is_no_circle_of_imports() -> None:
     graph = modules(ROOT)
     assert len(graph) > 100
-    assert circle(graph) == []
+    assert import_cycle(graph) == []
 
 
 def test_what_decides_reaches_no_socket_and_no_event_loop() -> None:
     graph = modules(ROOT)
-    assert sum(decides(name, module) for name, module in graph.items()) > 40
+    assert sum(makes_decisions(name, module) for name, module in graph.items()) > 40
     assert input_output(graph) == []
 
 
@@ -135,9 +137,9 @@
     (package / "a.py").write_text("from violetdoor import b\n")
     (package / "b.py").write_text(f"{under}from violetdoor.c import thing\n")
     (package / "c.py").write_text("import json\n")
-    assert circle(modules(tmp_path)) == []
+    assert import_cycle(modules(tmp_path)) == []
     (package / "c.py").write_text(f"{under}import violetdoor.a\n")
-    assert set(circle(modules(tmp_path))) == {"violetdoor.a", "violetdoor.b", "violetdoor.c"}
+    assert set(import_cycle(modules(tmp_path))) == {"violetdoor.a", "violetdoor.b", "violetdoor.c"}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail, and the files that acceptance runs want beside a site."""
+"""The list of tests that are known to fail, and `make sites`, which copies the acceptance kit's files."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 @pytest.mark.parametrize("n", [1, 2])
 def test_cases(n): assert n == 1
 """
-FAULTY, CASE = (
+FAULTY_LINE, CASE_LINE = (
     "tests/test_it.py::test_faulty | the fault | issue 1",
     "tests/test_it.py::test_cases[2] | a case | issue 2",
 )
 
 
-def play(root: Path, listed: str, *args: str) -> tuple[int, str]:
+def run_pytest(root: Path, listed: str, *args: str) -> tuple[int, str]:
     (root / "tests").mkdir(exist_ok=True)
     (root / "tests" / "test_it.py").write_text(CASES)
     (root / "KNOWN-RED.txt").write_text(listed)
@@ -47,41 +47,41 @@
 
 @pytest.mark.parametrize("args", [(), ("-n", "2")])
 def test_listed_tests_may_fail_and_are_told_at_the_end(tmp_path: Path, args: tuple[str, ...]) -> None:
-    status, text = play(tmp_path, f"{FAULTY}\n{CASE}\n", *args)
+    status, text = run_pytest(tmp_path, f"{FAULTY_LINE}\n{CASE_LINE}\n", *args)
     assert status == 0, text
     assert "2 passed, 2 xfailed" in text
     assert "KNOWN RED tests/test_it.py::test_faulty: the fault (issue 1)" in text
 
 
 @pytest.mark.parametrize(
-    ("listed", "said"),
+    ("listed", "expected"),
     [
         ("tests/test_it.py::test_sound | the fault | issue 1", "XPASS(strict)"),
         ("tests/test_it.py::test_faulty | the fault", "KNOWN-RED.txt:1: expected"),
         ("tests/test_it.py::test_faulty | | issue 1", "KNOWN-RED.txt:1: expected"),
         ("\ntests/test_it.py::test_none | a | b", "KNOWN-RED.txt:2: no test"),
         ("tests/test_none.py::test_sound | a | b", "KNOWN-RED.txt:1: no test"),
-        (f"{FAULTY}\ntests/test_it.py::test_cases[3] | a | b", "no test 'tests/test_it.py::test_cases[3]' ran"),
-        ("\n".join([FAULTY] * 4), "4 tests, 3 at most"),
+        (f"{FAULTY_LINE}\ntests/test_it.py::test_cases[3] | a | b", "no test 'tests/test_it.py::test_cases[3]' ran"),
+        ("\n".join([FAULTY_LINE] * 4), "4 tests, 3 at most"),
     ],
 )  # fmt: skip
 @pytest.mark.parametrize("args", [(), ("-n", "2")])
 def test_a_line_that_is_not_sound_fails_the_run(
-    tmp_path: Path, listed: str, said: str, args: tuple[str, ...]
+    tmp_path: Path, listed: str, expected: str, args: tuple[str, ...]
 ) -> None:
-    status, text = play(tmp_path, listed, *args)
+    status, text = run_pytest(tmp_path, listed, *args)
     assert status != 0, text
-    assert said in text, text
+    assert expected in text, text
 
 
 def test_another_fault_still_fails_the_run(tmp_path: Path) -> None:
-    status, text = play(tmp_path, CASE)
+    status, text = run_pytest(tmp_path, CASE_LINE)
     assert status == 1
     assert "1 failed" in text
 
 
 def test_the_kit_is_laid_beside_the_sites_and_its_absence_is_told(tmp_path: Path) -> None:
-    """Neither the program nor its tests need the kit: a stand-in of it is laid out here."""
+    """Neither the program nor its tests need the kit: the test creates a stand-in for it."""
     root = tmp_path / "checkout"
     (root / "deploy" / "sites").mkdir(parents=True)
     shutil.copy(ROOT / "Makefile", root)
@@ -93,7 +93,7 @@
         (tmp_path / "kit" / name).parent.mkdir(parents=True, exist_ok=True)
         (tmp_path / "kit" / name).write_text(name)
         (tmp_path / "kit" / name).chmod(0o444)
-    for _ in range(2):  # the files laid there before may not be writable
+    for _ in range(2):  # the second run has to replace read-only files of the first
         assert subprocess.run(command, cwd=root).returncode == 0
     laid = {path.name for path in (root / "deploy" / "sites").iterdir()}
     assert laid == {"real.json", "wire.json", "unlock.txt"}
--- a/tests/test_wheel.py
+++ b/tests/test_wheel.py
@@ -1,4 +1,4 @@
-"""What an installation gets: a wheel holds every package, and each can be imported from it."""
+"""The built wheel contains every package, and each can be imported from it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 def test_every_package_can_be_imported_from_a_built_wheel(tmp_path: Path) -> None:
-    """violetdoor.overload was missing: an operator's file with an [overload] table ended the program."""
+    """Guards against a package missing from the wheel.
+
+    violetdoor.overload was missing once: an operator's file with an [overload] table then ended the program.
+    """
     source, site = tmp_path / "source", tmp_path / "site"
     for name in PACKAGES:
         shutil.copytree(ROOT / name, source / name, ignore=shutil.ignore_patterns("__pycache__"))
