--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-FILE, MAX_LISTED = "KNOWN-RED.txt", 3
+LIST_FILE, MAX_LISTED = "KNOWN-RED.txt", 3
 
 
 @dataclass(frozen=True)
@@ -30,7 +30,7 @@
 def read_known_reds(root: Path) -> list[KnownRed]:
     """Return the listed tests; raises UsageError if a line is invalid or there are too many."""
     try:
-        lines = (root / FILE).read_text().splitlines()
+        lines = (root / LIST_FILE).read_text().splitlines()
     except FileNotFoundError:
         return []
     found = []
@@ -39,13 +39,13 @@
             continue
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts):
-            raise pytest.UsageError(f"{FILE}:{number}: expected 'test | cause | issue'")
+            raise pytest.UsageError(f"{LIST_FILE}:{number}: expected 'test | cause | issue'")
         red = KnownRed(*parts)
         if not has_test(root, red.test):
-            raise pytest.UsageError(f"{FILE}:{number}: no test {red.test!r}")
+            raise pytest.UsageError(f"{LIST_FILE}:{number}: no test {red.test!r}")
         found.append(red)
     if len(found) > MAX_LISTED:
-        raise pytest.UsageError(f"{FILE}: {len(found)} tests, {MAX_LISTED} at most")
+        raise pytest.UsageError(f"{LIST_FILE}: {len(found)} tests, {MAX_LISTED} at most")
     return found
 
 
@@ -60,28 +60,28 @@
     return any(isinstance(node, ast.FunctionDef) and node.name == wanted for node in ast.walk(tree))
 
 
-REDS = pytest.StashKey[list[KnownRed]]()
-RUN = pytest.StashKey[set[str]]()
+KNOWN_REDS = pytest.StashKey[list[KnownRed]]()
+TESTS_RUN = pytest.StashKey[set[str]]()
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    config.stash[REDS], config.stash[RUN] = read_known_reds(config.rootpath), set()
-    config.pluginmanager.register(_Seen(config), "known-red-seen")
+    config.stash[KNOWN_REDS], config.stash[TESTS_RUN] = read_known_reds(config.rootpath), set()
+    config.pluginmanager.register(_RunRecorder(config), "known-red-seen")
 
 
-class _Seen:
+class _RunRecorder:
     """Records the names of the tests that ran, in this process or in a worker."""
 
     def __init__(self, config: pytest.Config) -> None:
         self.config = config
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        self.config.stash[RUN].add(report.nodeid)
+        self.config.stash[TESTS_RUN].add(report.nodeid)
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     for item in items:
-        for red in config.stash[REDS]:
+        for red in config.stash[KNOWN_REDS]:
             if red.names(item.nodeid):
                 item.add_marker(pytest.mark.xfail(reason=f"{red.cause} ({red.issue})", strict=True))
 
@@ -92,14 +92,14 @@
     partly = bool(config.option.keyword or config.option.markexpr or any("::" in arg for arg in config.args))
     if hasattr(config, "workerinput") or partly or config.option.collectonly:
         return
-    ran = config.stash[RUN]
+    ran = config.stash[TESTS_RUN]
     files = {name.split("::")[0] for name in ran}
-    for red in config.stash[REDS]:
+    for red in config.stash[KNOWN_REDS]:
         if red.test.split("::")[0] in files and not any(red.names(name) for name in ran):
-            print(f"\n{FILE}: no test {red.test!r} ran")
+            print(f"\n{LIST_FILE}: no test {red.test!r} ran")
             session.exitstatus = pytest.ExitCode.USAGE_ERROR
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    for red in config.stash[REDS]:
+    for red in config.stash[KNOWN_REDS]:
         terminalreporter.write_line(f"KNOWN RED {red.test}: {red.cause} ({red.issue})")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -95,7 +95,7 @@
         (tmp_path / "kit" / name).chmod(0o444)
     for _ in range(2):  # the second run has to replace read-only files of the first
         assert subprocess.run(command, cwd=root).returncode == 0
-    laid = {path.name for path in (root / "deploy" / "sites").iterdir()}
-    assert laid == {"real.json", "wire.json", "unlock.txt"}
+    copied = {path.name for path in (root / "deploy" / "sites").iterdir()}
+    assert copied == {"real.json", "wire.json", "unlock.txt"}
     ignored = (ROOT / ".gitignore").read_text().split()
     assert {"deploy/sites/*.json", "deploy/sites/unlock.txt"} <= set(ignored)
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -28,22 +28,22 @@
     return path
 
 
-@pytest.mark.parametrize("word", ["server", "Zone", "ALL"])
+@pytest.mark.parametrize("scope_name", ["server", "Zone", "ALL"])
 def test_unknown_deduplication_scope_is_named_in_the_operators_words(
-    word: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    scope_name: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The error text is that of revision 300e9a1, although the names of the types have changed since."""
-    path = platform_file(tmp_path / "relay.json", dedupScope=word)
+    path = platform_file(tmp_path / "relay.json", dedupScope=scope_name)
     monkeypatch.setenv(FILE_VARIABLE, str(path))
     with pytest.raises(ConfigError) as caught:
         PlatformConfigSource().load()
-    assert str(caught.value) == f"{path}: ValueError {word!r} is not a valid Scope"
+    assert str(caught.value) == f"{path}: ValueError {scope_name!r} is not a valid Scope"
 
 
-@pytest.mark.parametrize("word", ["all", "zone", "cell", "", None])
+@pytest.mark.parametrize("scope_name", ["all", "zone", "cell", "", None])
 def test_known_deduplication_scopes_are_taken(
-    word: str | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    scope_name: str | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setenv(FILE_VARIABLE, str(platform_file(tmp_path / "relay.json", dedupScope=word)))
+    monkeypatch.setenv(FILE_VARIABLE, str(platform_file(tmp_path / "relay.json", dedupScope=scope_name)))
     scope = PlatformConfigSource().load().settings.classes["booking"].deduplication_scope
-    assert scope.value == (word or "all")
+    assert scope.value == (scope_name or "all")
--- a/tests/test_wheel.py
+++ b/tests/test_wheel.py
@@ -25,8 +25,8 @@
     build = [sys.executable, "-m", "pip", "-q", "wheel", "--no-deps", "--no-build-isolation", "--no-index"]
     subprocess.run([*build, "-w", str(tmp_path), str(source)], check=True)
     (wheel,) = tmp_path.glob("*.whl")
-    with zipfile.ZipFile(wheel) as held:
-        held.extractall(site)
+    with zipfile.ZipFile(wheel) as archive:
+        archive.extractall(site)
     files = {
         str(p.relative_to(source)) for name in PACKAGES for p in (source / name).rglob("*") if p.is_file()
     }
--- a/violetdoor/configuration/operator_config.py
+++ b/violetdoor/configuration/operator_config.py
@@ -22,7 +22,7 @@
 from violetdoor.fronts.line.options import LineOptions
 from violetdoor.net.addresses import parse_address
 
-if TYPE_CHECKING:  # at run time, imported only if the relay's file uses them
+if TYPE_CHECKING:  # otherwise imported only if the file uses them
     from violetdoor.control.relay.options import AttachmentOptions
     from violetdoor.fronts.nats.options import NatsOptions
     from violetdoor.rules.source import RulesSource
