--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""Tests that fail for a real fault which is not mended yet: KNOWN-RED.txt at the root names them.
+"""Known failures: KNOWN-RED.txt at the root lists tests that fail because of a bug that is not fixed yet.
 
-A line each, `tests/FILE.py::TEST | cause | issue`, three at most. A listed test is expected to fail: one that
-passes fails the run, since its line has to go, and so does a line that is not sound. The list stands at the end
-of every run. Without such tests the file is absent.
+It has one line per test, `tests/FILE.py::TEST | cause | issue`, and at most three lines. A listed test is
+expected to fail: the run fails if it passes, since its line has to be removed, or if a line is invalid. The
+list is printed at the end of every run. Without known failures the file is absent.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 import pytest
 
-FILE, MOST = "KNOWN-RED.txt", 3
+LIST_FILE, MAX_LISTED = "KNOWN-RED.txt", 3
 
 
 @dataclass(frozen=True)
@@ -23,14 +23,14 @@
     issue: str
 
     def names(self, item: str) -> bool:
-        """Whether it names this test, or all that are made of it."""
+        """Return whether the entry names this test, or the function that this parametrized test belongs to."""
         return item == self.test or item.split("[")[0] == self.test
 
 
-def read(root: Path) -> list[KnownRed]:
-    """The list; UsageError where a line is not sound or there are too many."""
+def read_known_reds(root: Path) -> list[KnownRed]:
+    """Return the listed tests; raises UsageError if a line is invalid or there are too many."""
     try:
-        lines = (root / FILE).read_text().splitlines()
+        lines = (root / LIST_FILE).read_text().splitlines()
     except FileNotFoundError:
         return []
     found = []
@@ -39,18 +39,18 @@
             continue
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts):
-            raise pytest.UsageError(f"{FILE}:{number}: expected 'test | cause | issue'")
+            raise pytest.UsageError(f"{LIST_FILE}:{number}: expected 'test | cause | issue'")
         red = KnownRed(*parts)
-        if not exists(root, red.test):
-            raise pytest.UsageError(f"{FILE}:{number}: no test {red.test!r}")
+        if not has_test(root, red.test):
+            raise pytest.UsageError(f"{LIST_FILE}:{number}: no test {red.test!r}")
         found.append(red)
-    if len(found) > MOST:
-        raise pytest.UsageError(f"{FILE}: {len(found)} tests, {MOST} at most")
+    if len(found) > MAX_LISTED:
+        raise pytest.UsageError(f"{LIST_FILE}: {len(found)} tests, {MAX_LISTED} at most")
     return found
 
 
-def exists(root: Path, test: str) -> bool:
-    """Whether a file has a test function of this name."""
+def has_test(root: Path, test: str) -> bool:
+    """Return whether the file has a test function of this name."""
     path, _, name = test.partition("::")
     try:
         tree = ast.parse((root / path).read_text())
@@ -60,46 +60,46 @@
     return any(isinstance(node, ast.FunctionDef) and node.name == wanted for node in ast.walk(tree))
 
 
-REDS = pytest.StashKey[list[KnownRed]]()
-RUN = pytest.StashKey[set[str]]()
+KNOWN_REDS = pytest.StashKey[list[KnownRed]]()
+TESTS_RUN = pytest.StashKey[set[str]]()
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    config.stash[REDS], config.stash[RUN] = read(config.rootpath), set()
-    config.pluginmanager.register(_Seen(config), "known-red-seen")
+    config.stash[KNOWN_REDS], config.stash[TESTS_RUN] = read_known_reds(config.rootpath), set()
+    config.pluginmanager.register(_RunRecorder(config), "known-red-seen")
 
 
-class _Seen:
-    """Keeps the names of the tests that ran, wherever they ran."""
+class _RunRecorder:
+    """Records the names of the tests that ran, in this process or in a worker."""
 
     def __init__(self, config: pytest.Config) -> None:
         self.config = config
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        self.config.stash[RUN].add(report.nodeid)
+        self.config.stash[TESTS_RUN].add(report.nodeid)
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     for item in items:
-        for red in config.stash[REDS]:
+        for red in config.stash[KNOWN_REDS]:
             if red.names(item.nodeid):
                 item.add_marker(pytest.mark.xfail(reason=f"{red.cause} ({red.issue})", strict=True))
 
 
 def pytest_sessionfinish(session: pytest.Session) -> None:
-    """A listed test of a file that ran as a whole has to have run: guards against a name of no case."""
+    """Fail the run if a listed test did not run although its whole file did: no such parametrized case exists."""
     config = session.config
     partly = bool(config.option.keyword or config.option.markexpr or any("::" in arg for arg in config.args))
     if hasattr(config, "workerinput") or partly or config.option.collectonly:
         return
-    ran = config.stash[RUN]
+    ran = config.stash[TESTS_RUN]
     files = {name.split("::")[0] for name in ran}
-    for red in config.stash[REDS]:
+    for red in config.stash[KNOWN_REDS]:
         if red.test.split("::")[0] in files and not any(red.names(name) for name in ran):
-            print(f"\n{FILE}: no test {red.test!r} ran")
+            print(f"\n{LIST_FILE}: no test {red.test!r} ran")
             session.exitstatus = pytest.ExitCode.USAGE_ERROR
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    for red in config.stash[REDS]:
+    for red in config.stash[KNOWN_REDS]:
         terminalreporter.write_line(f"KNOWN RED {red.test}: {red.cause} ({red.issue})")
