--- a/violetdoor/net/acceptor.py
+++ b/violetdoor/net/acceptor.py
@@ -196,7 +196,7 @@
                 raise
         except OSError as err:
             self.counters["client_broke"] += 1
-            log.info("connection to a client failed: %s: %s", type(err).__name__, err)
+            log.info("connection to a client broke: %s: %s", type(err).__name__, err)
         except Exception:
             self.counters["faults"] += 1
             log.exception("client session failed with an unexpected error; closing its connection")
