--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -323,7 +323,7 @@
         around = SimpleNamespace(core=make_controller(1), counts=Counters())
 
         class WatchedAttempts(ServerAttempts):
-            async def try_server(self, *_: Any, **__: Any) -> AttemptResult:
+            async def attempt_server(self, *_: Any, **__: Any) -> AttemptResult:
                 raise AssertionError("it began")
 
         client = ClientConnection(around, LineSocket(ours))
--- a/violetdoor/fronts/__init__.py
+++ b/violetdoor/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""The protocols that clients and gate servers speak, one package each."""
+"""The front ends of the relay: one package per protocol that clients and gate servers speak."""
--- a/violetdoor/fronts/line/__init__.py
+++ b/violetdoor/fronts/line/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's line protocol."""
+"""The front end for the platform's line protocol."""
--- a/violetdoor/fronts/line/attempt.py
+++ b/violetdoor/fronts/line/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt after another at servers: connect, send the OPEN line, read the first answer."""
+"""Attempts of a request, one at a time: connect to a server, send the OPEN line, read the first answer."""
 
 from __future__ import annotations
 
@@ -18,56 +18,57 @@
     from violetdoor.fronts.line.front_protocol import Front
     from violetdoor.fronts.line.opening import Opening
 
-# The only answers of a server that are taken as such. Guards against a spoilt one: half an UP would be
-# forwarded for an established connection, something like BUSY be taken as proof that nothing ever ran.
+# Any other first line of a server counts as an error. A truncated UP must not be forwarded as an established
+# connection, and a line that merely resembles BUSY must not count as proof that the request was not executed.
 UP = re.compile(rb"UP [!-~][ -~]*\r\n")
 BUSY = re.compile(rb"BUSY(?: [!-~]+)?\r\n")
 
 
 class ServerAttempts:
-    """The attempts of one request, never two at once."""
+    """The attempts of one request; at most one runs at a time."""
 
     __slots__ = ("client", "front", "is_request_sent", "load_report", "server")
 
     def __init__(self, front: Front, client: ClientConnection) -> None:
-        """Start without an attempt."""
+        """Start before the first attempt."""
         self.front = front
         self.client = client
-        self.server: LineSocket | None = None  # of the attempt that succeeded
-        self.is_request_sent = False  # a server may have the complete first line: it may run
-        self.load_report: Mapping[str, float] = {}  # that came with the latest answer
+        self.server: LineSocket | None = None  # connection of the attempt that succeeded; None until then
+        self.is_request_sent = False  # a server may have the whole OPEN line, so it may execute the request
+        self.load_report: Mapping[str, float] = {}  # from the latest server's answer
 
     async def run(
         self, opening: Opening, attempt: StartAttempt, *, is_adoption: bool = False
     ) -> AttemptResult:
-        """Try one server; retain its connection if it is up, else close it. A disconnect cancels.
+        """Attempt one server; keep the connection if the server answers UP, otherwise close it.
 
-        `is_adoption`: the client has this connection already, so that the server is not asked for.
+        A disconnect of the client cancels the attempt. `is_adoption`: the connection was open before this
+        program ran, so the core is not asked whether the attempt may start.
         """
         if self.client.is_disconnected:
             return AttemptResult.CANCELLED
-        trying = asyncio.get_running_loop().create_task(
-            self.try_server(opening, attempt, is_adoption=is_adoption)
+        attempting = asyncio.get_running_loop().create_task(
+            self.attempt_server(opening, attempt, is_adoption=is_adoption)
         )
         disconnected = self.client.disconnected
         try:
-            await asyncio.wait((trying, disconnected), return_when=asyncio.FIRST_COMPLETED)
-            if trying.done():
-                result = trying.result()
+            await asyncio.wait((attempting, disconnected), return_when=asyncio.FIRST_COMPLETED)
+            if attempting.done():
+                result = attempting.result()
             else:
-                trying.cancel()
-                await asyncio.gather(trying, return_exceptions=True)
+                attempting.cancel()
+                await asyncio.gather(attempting, return_exceptions=True)
                 result = AttemptResult.CANCELLED
         except BaseException:
-            trying.cancel()
+            attempting.cancel()
             raise
         self.front.counts[f"attempt_{result.value}"] += 1
         return result
 
-    async def try_server(
+    async def attempt_server(
         self, opening: Opening, attempt: StartAttempt, *, is_adoption: bool
     ) -> AttemptResult:
-        """Connect, exchange the first lines, close unless the server is up."""
+        """Connect and exchange the first lines; close the connection unless the server answers UP."""
         self.load_report = {}
         time_left = (attempt.timeout_at_ms - self.front.core.now()) / 1000
         address = self.front.directory.addresses.get(attempt.server)
@@ -79,27 +80,28 @@
         except OSError:
             return AttemptResult.UNREACHABLE
         server = LineSocket(sock)
-        result: AttemptResult | None = None  # None: this attempt is cancelled
+        result: AttemptResult | None = None  # None if the attempt is cancelled
         try:
             result = await self.exchange(opening, server, attempt, is_adoption=is_adoption)
             if result is AttemptResult.OK:
                 self.server = server
             return result
         finally:
-            # One that is given up must be over before another begins: what the system still holds of its line
-            # goes with a reset. An end in order would have it delivered when an unresponsive server is back.
+            # An abandoned attempt must end before the next one starts, so its connection is reset. That
+            # discards what the kernel has not sent yet. After an orderly close the kernel would still deliver
+            # the OPEN line once an unresponsive server recovers.
             if result is not AttemptResult.OK:
                 server.close(reset=result is None or result is AttemptResult.TIMEOUT)
 
     async def exchange(
         self, opening: Opening, server: LineSocket, attempt: StartAttempt, *, is_adoption: bool
     ) -> AttemptResult:
-        """Send the line on a connection that is up, read the server's first answer."""
-        obstacle = self._obstacle(attempt, is_adoption=is_adoption)
+        """Send the OPEN line on a connected socket and return the result of the server's first line."""
+        obstacle = self._reason_not_to_send(attempt, is_adoption=is_adoption)
         if obstacle is not None:
             return obstacle
         time_left_ms = attempt.timeout_at_ms - self.front.core.now()
-        if time_left_ms <= 0:  # not a byte is sent
+        if time_left_ms <= 0:  # nothing was sent
             return AttemptResult.UNREACHABLE
         try:
             async with asyncio.timeout(time_left_ms / 1000):
@@ -112,8 +114,8 @@
             return AttemptResult.ERROR
         return self._read_answer(bytes(server.buffer[:length]))
 
-    def _obstacle(self, attempt: StartAttempt, *, is_adoption: bool) -> AttemptResult | None:
-        """Return why not a byte may go to a server whose connection came up late, if anything."""
+    def _reason_not_to_send(self, attempt: StartAttempt, *, is_adoption: bool) -> AttemptResult | None:
+        """Return the result of an attempt that must not send anything, None if it may send."""
         if not is_adoption and not self.front.core.may_start(attempt):
             self.front.counts["begun_too_late"] += 1
             return AttemptResult.UNREACHABLE
@@ -122,19 +124,19 @@
         return None
 
     async def _send(self, opening: Opening, server: LineSocket, time_left_ms: float) -> bool:
-        """Send the OPEN line; False if the server cannot have it complete."""
+        """Send the OPEN line; False if the server cannot have received all of it."""
         was_sent_before = self.is_request_sent
-        self.is_request_sent = True  # also if this task is cancelled
+        self.is_request_sent = True  # set before the write, which may be cancelled half-way
         try:
             await send_buffers(server.sock, opening.server_line_parts(time_left_ms))
-        except OSError:  # the system takes nothing of a write that fails: the last byte is not out
+        except OSError:  # a failed write accepts no bytes: the last byte was not sent
             self.is_request_sent = was_sent_before
             return False
-        self.front.figures.increment("tries", opening.request_class)
+        self.front.metrics.increment("tries", opening.request_class)
         return True
 
     def _read_answer(self, answer: bytes) -> AttemptResult:
-        """Return what the server's first line means; retain its load report."""
+        """Return the result that the server's first line stands for; store its load report."""
         if not answer:
             return AttemptResult.RESET
         if UP.fullmatch(answer):
--- a/violetdoor/fronts/line/client.py
+++ b/violetdoor/fronts/line/client.py
@@ -1,4 +1,4 @@
-"""The client's side of a session: what it is answered, and whether it is still there."""
+"""The client's side of a session: its answers, and whether it is still connected."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 if TYPE_CHECKING:
     from violetdoor.fronts.line.front_protocol import Front
 
-MOVE_WRITE_TIMEOUT_SECONDS = 0.5  # that a client has to take its MOVE
-LINE_WRITE_TIMEOUT_SECONDS = 5.0  # that a client may leave its lines unread
+MOVE_WRITE_TIMEOUT_SECONDS = 0.5  # limit for writing MOVE to a client
+LINE_WRITE_TIMEOUT_SECONDS = 5.0  # limit for writing a server's lines to a client
 ERROR_LINE = b"ERR\r\n"
 MOVE_LINE = b"MOVE\r\n"
 
 
 def busy_line(retry_after_ms: int) -> bytes:
-    """Return the answer to a client that may come again after so long."""
+    """Return the BUSY line, which lets a client retry after this time."""
     return b"BUSY %d\r\n" % retry_after_ms
 
 
 class ClientConnection:
-    """A client's socket, and what it was answered: one final answer, and nothing behind a MOVE."""
+    """A client's socket and answers: exactly one final answer, and nothing after MOVE."""
 
     __slots__ = (
         "disconnected",
@@ -33,62 +33,62 @@
         "is_line_incomplete",
         "lines",
         "request_class",
-        "writing",
+        "write_lock",
     )
 
     def __init__(self, front: Front, lines: LineSocket) -> None:
-        """Start without an answer."""
+        """Start before any answer was sent."""
         self.front = front
         self.lines = lines
-        self.request_class = ""  # once the first line has told it
+        self.request_class = ""  # empty until the first line is parsed
         self.disconnected: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.writing = asyncio.Lock()  # held while lines go to the client: MOVE comes between them
+        self.write_lock = asyncio.Lock()  # MOVE is written between complete lines
         self.has_final_answer = False
-        self.has_migrated = False  # its MOVE is written: nothing follows
-        self.is_line_incomplete = False  # a write was broken off: what follows may not start a line
+        self.has_migrated = False  # MOVE was sent; nothing may be written after it
+        self.is_line_incomplete = False  # the last write ended inside a line
 
     @property
     def is_disconnected(self) -> bool:
-        """Whether the client has ended; its end may still stand behind lines that were not read."""
+        """Whether the client has closed its connection, even if lines before its close are still unread."""
         return self.disconnected.done() or is_peer_closed(self.lines.sock)
 
     def mark_disconnected(self) -> None:
-        """Record that the client's end was read."""
+        """Record that the end of the client's stream was read."""
         if not self.disconnected.done():
             self.disconnected.set_result(None)
 
     async def answer_busy(self, retry_after_ms: int) -> None:
-        """Reject: the client may come again after so long."""
+        """Reject the request; the client may retry after this time."""
         self.has_final_answer = True
         self.front.counts["answered_busy"] += 1
-        self.front.figures.increment("shed", self.request_class)
+        self.front.metrics.increment("shed", self.request_class)
         await send_buffers(self.lines.sock, [busy_line(retry_after_ms)])
 
     async def answer_failed(self, line: bytes = ERROR_LINE) -> None:
-        """Fail the request, which promises nothing."""
+        """Fail the request without a promise that it was not executed."""
         self.has_final_answer = True
         self.front.counts["answered_failed"] += 1
-        self.front.figures.increment("errors", self.request_class)
+        self.front.metrics.increment("errors", self.request_class)
         await send_buffers(self.lines.sock, [line])
 
     def mark_established(self) -> None:
-        """Record that the client is answered: the server's UP goes to it with the server's lines."""
+        """Record UP as the final answer; it is forwarded with the server's other lines."""
         self.front.counts["answered_up"] += 1
-        self.front.figures.increment("ok", self.request_class)
+        self.front.metrics.increment("ok", self.request_class)
         self.has_final_answer = True
 
     async def forward_from(self, server: LineSocket, length: int) -> None:
-        """Write so many bytes of the server's to the client."""
-        async with self.writing, asyncio.timeout(LINE_WRITE_TIMEOUT_SECONDS):
+        """Write the first `length` bytes of the server's buffer to the client."""
+        async with self.write_lock, asyncio.timeout(LINE_WRITE_TIMEOUT_SECONDS):
             self.is_line_incomplete = True
             await send_buffers(self.lines.sock, [server.view[:length]])
             self.is_line_incomplete = False
         server.consume(length)
 
     async def migrate(self) -> None:
-        """Tell the client to come again; nothing follows the MOVE."""
+        """Send MOVE, which makes the client reconnect; nothing may follow it."""
         try:
-            async with asyncio.timeout(MOVE_WRITE_TIMEOUT_SECONDS), self.writing:
+            async with asyncio.timeout(MOVE_WRITE_TIMEOUT_SECONDS), self.write_lock:
                 if not self.has_migrated and not self.is_line_incomplete:
                     self.has_migrated = True
                     await send_buffers(self.lines.sock, [MOVE_LINE])
--- a/violetdoor/fronts/line/client_reader.py
+++ b/violetdoor/fronts/line/client_reader.py
@@ -1,4 +1,4 @@
-"""The reading side of a client: its lines wait for the server, and its end is seen at any time."""
+"""Reads a client: holds its lines until the server is up, and detects its disconnect at any time."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 async def forward_client_lines(
     client: ClientConnection, established: asyncio.Future[EstablishedStream]
 ) -> bool:
-    """Forward the client's lines once its server is there; True at the client's end.
+    """Forward the client's lines once its server is up; return True at the end of the client's stream.
 
-    False if the server takes no more: its own reader sees the server's end, too.
+    False if writing to the server fails; the server's own reader detects its disconnect as well.
     """
     lines = client.lines
     try:
-        # Lines that came together with the first one go on as soon as there is a server: a loop that read
-        # before it looked would hold them back until the client says more.
+        # Check for complete lines before reading: lines that arrived together with the OPEN line would
+        # otherwise be held back until the client sends more.
         while lines.complete_length() or await lines.fill():
             if not lines.complete_length():
                 continue
@@ -35,23 +35,24 @@
             try:
                 await established.result().forward_to_server()
             except OSError as err:
-                log.info("writing to a server failed: %s", err)
+                log.info("failed to write a client's lines to its server: %s", err)
                 return False
     except LineTooLongError:
-        log.warning("a client's line is too long: its connection ends")
+        log.warning("client sent a line over the length limit; closing its connection")
     return True
 
 
 async def _wait_until_established(
     client: ClientConnection, established: asyncio.Future[EstablishedStream]
 ) -> bool:
-    """Wait for the server with complete lines in the buffer; False if the client ends before it is up.
+    """Wait until the server is up while complete lines are buffered; False if the client disconnects first.
 
-    Guards against an end that stands unread behind those lines: the request would be forwarded for nobody.
+    Guards against a disconnect that stays unread behind those lines: the request would be forwarded although
+    its client has gone.
     """
     lines = client.lines
     while not established.done():
-        if lines.used == MAX_LINE_BYTES:  # no more is read until these lines can go on
+        if lines.used == MAX_LINE_BYTES:  # buffer full: poll for a disconnect instead of reading
             await asyncio.wait((established,), timeout=DISCONNECT_POLL_INTERVAL_SECONDS)
             if not established.done() and is_peer_closed(lines.sock):
                 return False
--- a/violetdoor/fronts/line/connection_ids.py
+++ b/violetdoor/fronts/line/connection_ids.py
@@ -1,18 +1,18 @@
-"""The ids of clients' connections: open now, or ended lately."""
+"""The ids of client connections that are open or ended recently."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from collections.abc import Iterable
 
-MAX_ENDED_IDS = 4096  # ids of ended connections that are remembered
+MAX_ENDED_IDS = 4096  # ids of ended connections that stay reserved
 
 
 class ConnectionIds:
-    """Ids that no new connection may use.
+    """Ids that a new connection may not use.
 
-    Guards against a client that uses the id of another: the gate server rejects it, and that would count
-    against a healthy server.
+    Guards against a client that uses another client's id: the gate server rejects such a connection, which
+    would count as a failure of a healthy server.
     """
 
     def __init__(self) -> None:
@@ -21,26 +21,26 @@
         self._ended: OrderedDict[int, None] = OrderedDict()  # oldest first
 
     def reserve(self, connection_id: int) -> bool:
-        """Take an id into use; False if it is, or was lately."""
+        """Reserve an id; False if it is in use or was used recently."""
         if connection_id in self.open or connection_id in self._ended:
             return False
         self.open.add(connection_id)
         return True
 
     def release(self, connection_id: int) -> None:
-        """End the use of an id; no other connection may use it for a good while."""
+        """Record that a connection ended; its id stays reserved until MAX_ENDED_IDS others have ended."""
         self.open.discard(connection_id)
         self._ended[connection_id] = None
         if len(self._ended) > MAX_ENDED_IDS:
             self._ended.popitem(last=False)
 
-    def names(self) -> list[str]:
-        """Return all ids that are not free, in hex."""
+    def hex_ids(self) -> list[str]:
+        """Return all reserved ids in hex."""
         return [f"{connection_id:x}" for connection_id in (*self._ended, *self.open)]
 
-    def add_ended(self, names: Iterable[str]) -> None:
-        """Add ids, in hex, that another process of this relay knows."""
-        for name in names:
+    def add_ended(self, hex_ids: Iterable[str]) -> None:
+        """Reserve ids, in hex, that another process of this relay has in use."""
+        for name in hex_ids:
             self._ended[int(name, 16)] = None
         while len(self._ended) > MAX_ENDED_IDS:
             self._ended.popitem(last=False)
--- a/violetdoor/fronts/line/errors.py
+++ b/violetdoor/fronts/line/errors.py
@@ -1,94 +1,94 @@
-"""What can be wrong with a client's first line."""
+"""Errors in a client's first line."""
 
 from __future__ import annotations
 
-MAX_SHOWN_CHARACTERS = 32  # of a client's words in an error text
+MAX_SHOWN_CHARACTERS = 32  # of a client's value that an error message quotes
 
 
 class LineProtocolError(Exception):
-    """A first line that is answered with ERR; `request_class` is the class that it names, if any."""
+    """A first line that is answered with ERR; `request_class` is the class it names, or empty."""
 
     def __init__(self, text: str, request_class: str = "") -> None:
-        """Keep the text that the log shows."""
+        """Store the log message and the class."""
         super().__init__(text)
         self.request_class = request_class
 
 
 class RejectedByRuleError(LineProtocolError):
-    """A rule rejects the request; the text is its reason, which the client is told."""
+    """A rule rejects the request; the text is the rule's reason and is sent to the client."""
 
 
 class InvalidOpeningError(LineProtocolError):
-    """The line is no OPEN line, or not one that can be served."""
+    """The line is not an OPEN line, or cannot be served."""
 
 
 class NotAnOpeningError(InvalidOpeningError):
-    """The line has not the form of an OPEN line."""
+    """The line does not have the form of an OPEN line."""
 
     def __init__(self) -> None:
-        """Name the fault."""
-        super().__init__("not an OPEN line")
+        """Set the log message."""
+        super().__init__("expected 'OPEN <id> <key> <values>' ending in CRLF")
 
 
 class InvalidNameError(InvalidOpeningError):
-    """A value has no valid name, or one that stood before."""
+    """The name of a value is invalid or appears twice."""
 
     def __init__(self, name: str) -> None:
-        """Name the fault."""
-        super().__init__(f"bad or repeated name {name[:MAX_SHOWN_CHARACTERS]!r}")
+        """Set the log message."""
+        super().__init__(f"invalid or duplicate value name {name[:MAX_SHOWN_CHARACTERS]!r}")
 
 
 class InvalidValueError(InvalidOpeningError):
-    """A value has not the form that its name asks for."""
+    """A value is invalid for its name."""
 
     def __init__(self, name: str, value: str) -> None:
-        """Name the fault."""
-        super().__init__(f"bad value of {name!r}: {value[:MAX_SHOWN_CHARACTERS]!r}")
+        """Set the log message."""
+        super().__init__(f"invalid value for {name!r}: {value[:MAX_SHOWN_CHARACTERS]!r}")
 
 
 class UnknownClassError(InvalidOpeningError):
-    """The settings know no such class."""
+    """The class is not in the settings."""
 
     def __init__(self, request_class: str) -> None:
-        """Name the fault."""
+        """Set the log message."""
         super().__init__(f"unknown class {request_class[:MAX_SHOWN_CHARACTERS]!r}", request_class)
 
 
 class UnknownTenantError(InvalidOpeningError):
-    """The settings list tenants, and not this one."""
+    """The settings list tenants, but not this one."""
 
     def __init__(self, tenant: str) -> None:
-        """Name the fault."""
+        """Set the log message."""
         super().__init__(f"unknown tenant {tenant[:MAX_SHOWN_CHARACTERS]!r}")
 
 
 class NoTimeLeftError(InvalidOpeningError):
-    """The line leaves no time for the request."""
+    """The line leaves no time for the request: `d` is missing or 0."""
 
     def __init__(self) -> None:
-        """Name the fault."""
-        super().__init__("no time in 'd'")
+        """Set the log message."""
+        super().__init__("'d' (time left) is missing or 0")
 
 
 class TimeLeftTooLongError(InvalidOpeningError):
-    """The line leaves more time than a request of its class can have."""
+    """The line leaves more time than a request of its class may have."""
 
     def __init__(self) -> None:
-        """Name the fault."""
-        super().__init__("too much time in 'd' for its class")
+        """Set the log message."""
+        super().__init__("'d' (time left) exceeds the limit of its class")
 
 
 class NoAdoptionError(InvalidOpeningError):
-    """The line names a server that this relay adopts no connection at, any more or at all."""
+    """The line asks for an adoption at an unlisted server, or after the adoption period."""
 
     def __init__(self) -> None:
-        """Name the fault."""
-        super().__init__("no connection of an earlier run is brought back there")
+        """Set the log message."""
+        super().__init__("'at' names an unlisted server, or the adoption period is over")
 
 
 class DuplicateConnectionIdError(InvalidOpeningError):
-    """Another connection has this id, or had it lately."""
+    """Another connection has this id, or had it recently."""
 
     def __init__(self) -> None:
-        """Name the fault."""
-        super().__init__("an id that another connection has")
+        """Set the log message."""
+        super().__init__("connection id is in use or was used recently")
--- a/violetdoor/fronts/line/fields.py
+++ b/violetdoor/fronts/line/fields.py
@@ -1,4 +1,4 @@
-"""What the line front shows match rules of a request: the values of its OPEN line, and its peer."""
+"""The request fields that match rules can use on the line front: the OPEN line's values and the peer."""
 
 from __future__ import annotations
 
@@ -20,15 +20,17 @@
     packed,
 )
 
-MAX_NAME_BYTES = 256  # a longer name counts as missing
-MAX_EXTRA_VALUES = 32  # values that have no field of their own
-MAX_HEX_DIGITS = 32  # of ids, keys and groups
+MAX_NAME_BYTES = 256  # a longer class or tenant counts as missing
+MAX_EXTRA_VALUES = 32  # values without a field of their own
+MAX_HEX_DIGITS = 32  # of an id, a key or a group
 MAX_PORT = 65_535
-MAX_LOAD = 1e6  # ms of work a second, as parse_opening lets it pass
+MAX_LOAD = 1e6  # ms of work per second, the limit of parse_opening
 MAX_TIME_LEFT_US = 1_000_000_000_000_000
-NO_ADDRESS = bytes(4)  # where the peer's address does not read
-NAMED_VALUES = frozenset({"c", "t", "d", "g", "h", "r", "again", "at"})  # have a field, or concern no rule
-MIN_VALUES_WITH_EXTRA = 3  # a line of two values has its class and its time
+NO_ADDRESS = bytes(4)  # used where the peer's address cannot be parsed
+NAMED_VALUES = frozenset(
+    {"c", "t", "d", "g", "h", "r", "again", "at"}
+)  # with a field of their own, or not for rules
+MIN_VALUES_WITH_EXTRA = 3  # two values are the class and the time left
 
 SCHEMA = Schema(
     "line",
@@ -52,7 +54,7 @@
 
 
 def rule_request(opening: Opening, peer: tuple[Any, ...]) -> tuple[Any, ...]:
-    """Return the values of a request's fields, in the order of the schema; `peer` as getpeername has it."""
+    """Return a request's field values in the order of the schema; `peer` is the result of getpeername."""
     values = opening.values or OpeningValues("")
     return (
         packed(str(peer[0]).partition("%")[0]) or NO_ADDRESS,
@@ -71,7 +73,7 @@
 
 
 def _extra_values(values: OpeningValues) -> dict[str, str]:
-    """Return the values that have no field of their own, as far as they fit."""
+    """Return the values without a field of their own, up to the limits of size and number."""
     extra: dict[str, str] = {}
     if len(values) < MIN_VALUES_WITH_EXTRA:
         return extra
--- a/violetdoor/fronts/line/front.py
+++ b/violetdoor/fronts/line/front.py
@@ -1,4 +1,4 @@
-"""The listening socket of the line protocol: accepts clients, and serves each in a session."""
+"""The front end of the line protocol: accepts clients and serves each in a session."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 
 log = logging.getLogger("violetdoor.line")
 
-ADOPTION_SECONDS = 60.0  # from the start, in which connections of an earlier run come back
-MAX_RECONNECT_TIMES = 1024  # remembered, of clients that came back
-RELIEF_FRACTION = 0.01  # of the established clients, migrated at a time under memory pressure
-# Which a client that comes during shutdown is to wait, or the longest that the settings allow, if less.
+ADOPTION_SECONDS = 60.0  # after the start, while connections of an earlier run are adopted
+MAX_RECONNECT_TIMES = 1024  # arrival times of reconnecting clients that are stored
+PRESSURE_MIGRATION_FRACTION = 0.01  # of the established clients, per relieve_memory call
+# Retry-After of clients that arrive during shutdown, unless the settings' maximum is less.
 SHUTDOWN_RETRY_AFTER_MS = 300
 
 
 class LineFront:
-    """Accepts the clients of the line protocol, and owns what their sessions share."""
+    """Accepts clients of the line protocol and owns the state that their sessions share."""
 
     def __init__(self, host: ServiceHost, options: LineOptions) -> None:
         """Listen at the host's address, or on the socket that it inherited."""
         self.core = host.core
         self.directory = host.directory
         self.counts = host.counters
-        self.figures = host.metrics
+        self.metrics = host.metrics
         self.rules = host.rules
         self.gate = host.gate
         self.options = options
@@ -58,14 +58,15 @@
         self.shutdown_seconds = MAX_SHUTDOWN_SECONDS
         self.reconfigure(options)
         self.is_shutting_down = False
-        self.reconnected_at: deque[float] = deque(maxlen=MAX_RECONNECT_TIMES)  # s of the loop
+        self.reconnected_at: deque[float] = deque(maxlen=MAX_RECONNECT_TIMES)  # loop time, s
         self.established: set[RequestHandle] = set()
         self.core.health_checks.checker = self._check_server
 
     def reconfigure(self, options: LineOptions) -> None:
-        """Use these classes, tenants and meanings of a line from now on.
+        """Apply the classes, tenants and line semantics of new settings.
 
-        Nobody says by which deadline a later kill is counted, so the shortest time that was ever owed holds.
+        The kill after SIGTERM follows the longest deadline, but of which settings is not specified: so the
+        shortest shutdown time of all settings so far applies.
         """
         self.options = options
         max_retry_after_ms = self.core.settings.max_retry_after_ms
@@ -74,11 +75,11 @@
         self.shutdown_seconds = min(self.shutdown_seconds, shutdown_seconds(options.deadlines_ms))
 
     async def run(self) -> None:
-        """Accept clients for ever."""
+        """Accept clients until cancelled."""
         await self.acceptor.run()
 
     async def shut_down(self) -> None:
-        """Answer what still arrives, let requests end, migrate all established clients."""
+        """Answer clients that still arrive, let requests end, migrate all established clients."""
         self.is_shutting_down = True
         await GracefulShutdown(self).run()
 
@@ -87,24 +88,24 @@
         """Whether another process accepts this relay's clients."""
         return not self.acceptor.accepting_enabled.is_set()
 
-    def queued(self) -> float:
-        """Return 0: nothing waits here beyond what each connection's buffer holds."""
+    def queued_bytes(self) -> float:
+        """Return 0: nothing is queued beyond the fixed buffer of each connection."""
         return 0.0
 
     def relieve_memory(self, *, under_pressure: bool, migrate: bool) -> None:
-        """Under memory pressure migrate some of the lowest priority; buffers are bounded as they are."""
+        """Migrate some clients of the lowest priority under memory pressure; buffers are bounded anyway."""
         if under_pressure and migrate:
-            for handle in self.core.select_lowest_priority(self.migratable(), RELIEF_FRACTION):
+            for handle in self.core.select_lowest_priority(self.migratable(), PRESSURE_MIGRATION_FRACTION):
                 handle.migration_requested.set_result(None)
 
     def migratable(self) -> list[RequestHandle]:
-        """Return the established requests that are not about to migrate."""
+        """Return the established requests whose migration was not requested yet."""
         return [request for request in self.established if not request.migration_requested.done()]
 
     def apply_rules(self, opening: Opening, sock: socket.socket) -> None:
-        """Let the rules say what a request is; the line that goes to its server stays as it came.
+        """Let the rules set a request's attributes; the line that is forwarded to its server stays unchanged.
 
-        Raises RejectedByRuleError, or InvalidOpeningError where what they say can't be served.
+        Raises RejectedByRuleError, or InvalidOpeningError where the rules' result cannot be served.
         """
         from violetdoor.fronts.line.fields import rule_request
 
@@ -128,7 +129,7 @@
             raise TimeLeftTooLongError
 
     def _shed_at_accept(self, client: str) -> bytes | None:
-        """Return what a client is told before it is read from, if even reading is too much."""
+        """Return the answer to a client that is shed before its first line is read, None to accept it."""
         assert self.gate is not None
         shed = self.gate.check_connection(client)
         return None if shed is None else busy_line(shed.retry_after_ms)
@@ -137,22 +138,22 @@
         return await check_server(self, server)
 
     async def _serve(self, sock: socket.socket) -> bool:
-        """Serve one client; tell whether its connection is to end with a reset."""
+        """Serve one client; return whether to reset its connection instead of closing it."""
         lines = LineSocket(sock)
         session = Session(self, lines)
         try:
             await session.run()
         except asyncio.CancelledError:
             if self.acceptor.is_closing:
-                session.send_last_word()
+                session.send_final_answer_at_exit()
             raise
         except LineTooLongError:
             self.counts["line_too_long"] += 1
-            log.info("a client's line is too long")
-            await session.answer_fault()
+            log.info("client sent a line over the length limit; ending its session")
+            await session.answer_after_fault()
         except OSError:
             raise
         except Exception:
-            await session.answer_fault()
+            await session.answer_after_fault()
             raise
         return lines.was_reset
--- a/violetdoor/fronts/line/front_protocol.py
+++ b/violetdoor/fronts/line/front_protocol.py
@@ -1,4 +1,4 @@
-"""What the parts of a session use of the front that accepted its client; `LineFront` is one."""
+"""The interface of the front that a session's parts use; `LineFront` implements it."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 
 
 class Front(Protocol):
-    """The front of a session."""
+    """The front that accepted a session's client."""
 
     core: Controller
     directory: ServerDirectory
     counts: Counters
-    figures: Metrics
+    metrics: Metrics
     options: LineOptions
     acceptor: Acceptor
     load_notes: LoadNoteClassifier
     connection_ids: ConnectionIds
     rules: ActiveRules | None
     gate: AdmissionGate | None
-    shutdown_retry_after_ms: int  # after which a client may come again during shutdown
+    shutdown_retry_after_ms: int  # Retry-After of clients that arrive during shutdown
     is_shutting_down: bool
-    adopt_until_ms: float  # of the core's clock, until which connections of an earlier run are adopted
-    reconnected_at: deque[float]  # s of the loop: when clients came that were migrated or broken
-    established: set[RequestHandle]  # whose connections are established
+    adopt_until_ms: float  # core clock; connections of an earlier run are adopted until then
+    reconnected_at: deque[float]  # loop time, s: arrivals of clients with again=1
+    established: set[RequestHandle]  # requests with an established connection
 
     @property
     def has_successor(self) -> bool:
         """Whether another process accepts this relay's clients."""
 
     def apply_rules(self, opening: Opening, sock: socket.socket) -> None:
-        """Let the rules say what a request is; raise LineProtocolError."""
+        """Let the rules set a request's attributes; raise LineProtocolError."""
--- a/violetdoor/fronts/line/health_check.py
+++ b/violetdoor/fronts/line/health_check.py
@@ -1,4 +1,4 @@
-"""The health check of a server: a line on a connection of its own."""
+"""The health check of a server: one command on a connection of its own."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 if TYPE_CHECKING:
     from violetdoor.fronts.line.front_protocol import Front
 
-TIMEOUT_SECONDS = 0.5  # for the answer, once connected
+TIMEOUT_SECONDS = 0.5  # for the answer, from when the connection is up
 
 
 async def check_server(front: Front, server: str) -> HealthCheckEnded:
-    """Check that a server answers, and ask it for its load where the settings say that it reports that.
+    """Check that a server answers; request its load report where the settings say that checks bring one.
 
-    Guards against checks that bring no report to a module that waits for one: it would know of no server
-    how busy it is, and would take every one for new.
+    Guards against checks without a report where the decision module expects one: it would know no server's
+    load and would treat each server as new.
     """
     front.counts["probes"] += 1
     started_at = front.core.now()
@@ -34,9 +34,9 @@
         except OSError:
             front.counts["probes_failed"] += 1
             return HealthCheckEnded(server, result, front.core.now() - started_at)
-        question = b"STATS\r\n" if front.core.settings.health_checks_report_load else b"PING\r\n"
+        command = b"STATS\r\n" if front.core.settings.health_checks_report_load else b"PING\r\n"
         try:
-            answer = await _ask(lines, question)
+            answer = await _query(lines, command)
         except TimeoutError:
             result = AttemptResult.TIMEOUT
         except (OSError, LineTooLongError):
@@ -47,15 +47,18 @@
         finally:
             lines.close()
     if result is AttemptResult.OK:
-        front.counts.setdefault("probes_failed", 0)  # printed beside probes from the first of these on
+        front.counts.setdefault("probes_failed", 0)  # printed together with probes from the first check on
     else:
         front.counts["probes_failed"] += 1
     return HealthCheckEnded(server, result, front.core.now() - started_at, report)
 
 
-async def _ask(lines: LineSocket, question: bytes) -> bytes:
-    """Return the answer's line, empty at the end; raise OSError or LineTooLongError."""
+async def _query(lines: LineSocket, command: bytes) -> bytes:
+    """Send a command; return the answer's line, empty at the end of the stream.
+
+    Raises OSError or LineTooLongError.
+    """
     async with asyncio.timeout(TIMEOUT_SECONDS):
-        await send_buffers(lines.sock, [question])
+        await send_buffers(lines.sock, [command])
         length = await lines.read_line()
     return bytes(lines.buffer[:length])
--- a/violetdoor/fronts/line/opening.py
+++ b/violetdoor/fronts/line/opening.py
@@ -1,4 +1,4 @@
-"""The first line of a connection, parsed in place; it is forwarded unchanged but for the time it leaves."""
+"""Parses the first line of a connection; a server gets it unchanged except for the time left."""
 
 from __future__ import annotations
 
@@ -16,44 +16,44 @@
 )
 from violetdoor.net.sockets import BytesLike
 
-# What a value may look like. Guards against all that Python's own readers take beyond it: signs, underscores
-# and blanks in hex, nan, inf, exponents, and numbers of a thousand digits.
+# The valid forms of values. Stricter than int() and float(), which also accept signs, underscores and spaces
+# in hex, nan, inf, exponents, and numbers of a thousand digits.
 LINE = re.compile(rb"OPEN ([0-9a-fA-F]{1,32}) ([0-9a-fA-F]{1,32}) ([!-~]+)\r\n")
 HEX = re.compile(r"[0-9a-fA-F]{1,32}")
 NUMBER = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 NAME = re.compile(r"[A-Za-z_][A-Za-z0-9_]{0,31}")
 FLAGS = ("0", "1")
-MAX_LOAD_MS_PER_SECOND = 1e6  # far more work than any server can do
-MAX_TIME_LEFT_IN_DEADLINES = 10  # longer than this many deadlines of its class no client waits
-MAX_TIME_LEFT_OF_ADOPTED_MS = 1e9  # a connection from before the run has no deadline, and says so like this
+MAX_LOAD_MS_PER_SECOND = 1e6  # far above any server's capacity
+MAX_TIME_LEFT_IN_DEADLINES = 10  # upper bound of `d`, in deadlines of the class
+MAX_TIME_LEFT_OF_ADOPTED_MS = 1e9  # an adopted connection has no deadline, so its `d` is huge
 
 
 @dataclass(slots=True)
 class Opening:
-    """One OPEN line: its values, and the bytes around the digits of `d`."""
+    """One OPEN line: its values, and the bytes before and after the digits of `d`."""
 
     connection_id: int
     request_class: str
     tenant: str
     idempotency_key: int
     time_left_ms: float
-    load: float | None  # ms of work a second
+    load: float | None  # ms of work per second
     group: int | None
     is_retry: bool
     is_reconnect: bool
-    existing_server: str  # the server that has this connection already, from before this run
+    existing_server: str  # the server of a connection from before this run; empty for a new one
     bytes_before_time: bytes
     bytes_after_time: bytes
-    values: OpeningValues | None = None  # retained for the rules, where there are any
+    values: OpeningValues | None = None  # kept only if match rules are in use
 
     def server_line_parts(self, time_left_ms: float) -> list[BytesLike]:
-        """Return the line for a server, which is told how long the relay will wait."""
+        """Return the line for a server, with the time that the relay will wait as `d`."""
         digits = b"%d" % max(1, int(time_left_ms))
         return [self.bytes_before_time, digits, self.bytes_after_time]
 
 
 class OpeningValues(dict[str, str]):
-    """The names and values of a line, each name once; what is read from them is checked first."""
+    """The names and values of a line, each name once; the methods validate a value when it is read."""
 
     def __init__(self, text: str) -> None:
         """Split the text; raise InvalidNameError."""
@@ -65,31 +65,31 @@
             self[name] = value
 
     def read(self, name: str, is_valid: Callable[[str], object]) -> str | None:
-        """Return a valid value, or None if it is not there; raise InvalidValueError."""
+        """Return a value, None if it is missing; raise InvalidValueError if `is_valid` rejects it."""
         value = self.get(name)
         if value is not None and not is_valid(value):
             raise InvalidValueError(name, value)
         return value
 
     def hex(self, name: str) -> int | None:
-        """Return a key."""
+        """Return a hexadecimal value as a number, None if it is missing."""
         value = self.read(name, HEX.fullmatch)
         return None if value is None else int(value, 16)
 
     def number(self, name: str, maximum: float) -> float | None:
-        """Return a number up to a bound."""
+        """Return a decimal number of at most `maximum`, None if it is missing."""
         value = self.read(name, lambda text: NUMBER.fullmatch(text) and float(text) <= maximum)
         return None if value is None else float(value)
 
     def flag(self, name: str) -> bool:
-        """Tell whether a flag is set."""
+        """Return whether a flag is set; a missing one is not."""
         return self.read(name, FLAGS.__contains__) == "1"
 
 
 def check_class_and_tenant(
     request_class: str, tenant: str, deadlines_ms: Mapping[str, float], tenants: frozenset[str]
 ) -> None:
-    """Raise UnknownClassError or UnknownTenantError; no tenants mean any."""
+    """Raise UnknownClassError or UnknownTenantError; an empty set of tenants admits any."""
     if request_class not in deadlines_ms:
         raise UnknownClassError(request_class)
     if tenants and tenant not in tenants:
@@ -103,9 +103,10 @@
     *,
     is_classified_by_rules: bool = False,
 ) -> Opening:
-    """Read an OPEN line; raise InvalidOpeningError.
+    """Parse an OPEN line; raise InvalidOpeningError.
 
-    Where rules say class and tenant, any names will do here, and the line's values are retained for them.
+    With `is_classified_by_rules`, the names of class and tenant are not checked, and the line's values are
+    kept for the rules.
     """
     raw = bytes(line)
     found = LINE.fullmatch(raw)
@@ -139,7 +140,7 @@
 
 
 def _read_time_left(values: OpeningValues, longest_deadline_ms: float, *, is_adoption: bool) -> float:
-    """Return the time that a line leaves in ms; raise InvalidValueError or NoTimeLeftError."""
+    """Return the time left of a line in ms; raise InvalidValueError or NoTimeLeftError."""
     max_time_left = MAX_TIME_LEFT_IN_DEADLINES * longest_deadline_ms
     if is_adoption:
         max_time_left = MAX_TIME_LEFT_OF_ADOPTED_MS
@@ -150,7 +151,7 @@
 
 
 def _time_start(raw: bytes, values_start: int) -> int:
-    """Return where the digits of `d` begin, the first value or a later one."""
+    """Return the offset of the digits of `d`, which may be the first value or a later one."""
     if raw.startswith(b"d=", values_start):
         return values_start + len(b"d=")
     return raw.index(b",d=", values_start) + len(b",d=")
--- a/violetdoor/fronts/line/session.py
+++ b/violetdoor/fronts/line/session.py
@@ -1,7 +1,7 @@
 """One client's connection on the line protocol, from its first line to its end.
 
-`Session.request` is the life of a request from top to bottom; what it needs is beside it: the client's side
-in `client` and `client_reader`, attempts in `attempt`, the established connection in `stream`.
+`Session.request` is the whole course of a request; its parts are in other modules: the client's side in
+`client` and `client_reader`, attempts in `attempt`, the established connection in `stream`.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 
 log = logging.getLogger("violetdoor.line")
 
-FIRST_LINE_TIMEOUT_SECONDS = 2.0  # for a new connection's first line; an end is owed within 3
-IDLE_TIMEOUT_SECONDS = 60.0  # for the first line after a check of the front
-ADOPTION_TIMEOUT_SECONDS = 35.0  # to bring up a connection from before the run
+FIRST_LINE_TIMEOUT_SECONDS = 2.0  # for a new connection's first line; clients must get an end within 3 s
+IDLE_TIMEOUT_SECONDS = 60.0  # for the next line after a PING of the front
+ADOPTION_TIMEOUT_SECONDS = 35.0  # to re-establish a connection from before this run
 ADOPTION_RETRY_DELAY_SECONDS = 0.3
 
 
 def request_attributes(opening: Opening) -> RequestAttributes:
-    """Return what the decision module is to know of a request."""
+    """Return the attributes of a request for the decision module."""
     return RequestAttributes(
         opening.request_class,
         opening.tenant,
@@ -53,7 +53,7 @@
 
 
 class Session:
-    """The life of one client's connection."""
+    """Serves one client's connection."""
 
     __slots__ = ("attempts", "client", "core", "established", "front", "handle")
 
@@ -68,20 +68,20 @@
         self.established: asyncio.Future[EstablishedStream] = loop.create_future()
 
     async def run(self) -> None:
-        """Answer a first line: a check of the front, or a request."""
+        """Read the first line, answering PINGs before it, and serve the request."""
         client, front = self.client, self.front
         try:
             length = await self._read_first_line()
         except TimeoutError:
             front.counts["no_first_line"] += 1
-            if client.lines.used:  # it stopped in the middle of its line
+            if client.lines.used:  # the line is incomplete
                 await client.answer_failed()
-            else:  # its line may be on the way in this moment: this is the answer to it, too
+            else:  # the line may be arriving now, so BUSY must be a valid answer to it
                 await client.answer_busy(front.shutdown_retry_after_ms)
             return
         if not length:
             return
-        arrived_at = self.core.now()  # its time runs from the last byte, however many pieces the line came in
+        arrived_at = self.core.now()  # `d` counts from the last byte of the line
         opening = await self._open(length)
         if opening is None:
             return
@@ -96,7 +96,7 @@
             front.connection_ids.release(opening.connection_id)
 
     async def _read_first_line(self) -> int:
-        """Answer checks of the front; return the length of the line that opens a request, 0 at the end."""
+        """Answer PINGs; return the length of the first other line, 0 at the end of the stream."""
         lines = self.client.lines
         timeout = FIRST_LINE_TIMEOUT_SECONDS
         while True:
@@ -110,7 +110,7 @@
             timeout = IDLE_TIMEOUT_SECONDS
 
     async def _open(self, length: int) -> Opening | None:
-        """Read the first line and reserve its id; answer one that can't be served, and return None."""
+        """Parse the first line and reserve its id; if it cannot be served, answer it and return None."""
         client, front = self.client, self.front
         try:
             return self._parse_and_reserve(length)
@@ -120,33 +120,33 @@
             await client.answer_failed(b"ERR %b\r\n" % str(err).encode())
         except InvalidOpeningError as err:
             front.counts["syntax"] += 1
-            log.warning("bad first line: %s", err)
-            client.request_class = err.request_class  # the figures may know it: a class that was removed
+            log.warning("invalid first line of a client: %s; answering ERR", err)
+            client.request_class = err.request_class  # a removed class may still have metrics
             await client.answer_failed()
         return None
 
     def _parse_and_reserve(self, length: int) -> Opening:
-        """Return the opening, by the rules where there are any; raise LineProtocolError."""
+        """Return the opening, with any match rules applied; raise LineProtocolError."""
         lines, front = self.client.lines, self.front
         options = front.options
         has_rules = front.rules is not None
         opening = parse_opening(
             lines.view[:length], options.deadlines_ms, options.tenants, is_classified_by_rules=has_rules
         )
-        if not options.groups_share_work:  # guards against a client that is taken for a group of its own
+        if not options.groups_share_work:  # `g` is the client itself, not a group
             opening.group = None
         if has_rules:
             front.apply_rules(opening, lines.sock)
         if opening.existing_server:
-            is_known = opening.existing_server in front.directory.addresses
-            if not is_known or self.core.now() >= front.adopt_until_ms:
+            is_listed = opening.existing_server in front.directory.addresses
+            if not is_listed or self.core.now() >= front.adopt_until_ms:
                 raise NoAdoptionError
         if not front.connection_ids.reserve(opening.connection_id):
             raise DuplicateConnectionIdError
         return opening
 
     async def _serve(self, opening: Opening, arrived_at: float) -> None:
-        """Serve a client that sent a valid line."""
+        """Serve a client whose first line is valid."""
         client, front = self.client, self.front
         reader = asyncio.get_running_loop().create_task(self._read_client())
         try:
@@ -167,7 +167,7 @@
                 self.attempts.server.close(reset=client.lines.was_reset)
 
     async def request(self, opening: Opening, arrived_at: float) -> None:
-        """Ask the core what to do until the request has its one final answer."""
+        """Carry out the core's decisions until the request has its one final answer."""
         client, front = self.client, self.front
         waited_ms = self.core.now() - arrived_at
         time_left_ms = opening.time_left_ms - waited_ms
@@ -189,22 +189,22 @@
                 case StartAttempt():
                     result = await self.attempts.run(opening, decision)
             if client.disconnected.done() or result is AttemptResult.CANCELLED:
-                handle.client_disconnected()  # also in the very moment in which its server accepted it
+                handle.client_disconnected()  # even if its server accepted it at the same time
                 if result is AttemptResult.OK:
                     result = AttemptResult.CANCELLED
             if result is AttemptResult.OK:
                 handle.connection_established()
-                await self._stream(handle)
+                await self._serve_established(handle)
                 return
             handle.attempt_ended(result, load_report=self.attempts.load_report)
 
     async def _shed(self, opening: Opening, waited_ms: float, time_left_ms: float) -> bool:
-        """Reject a request that the relay itself has no capacity for; tell whether it was."""
+        """Reject a request if the relay itself has no capacity for it; return whether it was rejected."""
         gate = self.front.gate
         if gate is None:
             return False
-        sharer = opening.idempotency_key if opening.group is None else opening.group
-        client_name = f"{sharer:x}"
+        client_key = opening.idempotency_key if opening.group is None else opening.group
+        client_name = f"{client_key:x}"
         shed = gate.check_request(
             opening.tenant, opening.request_class, client_name, is_reconnect=opening.is_reconnect
         )
@@ -219,7 +219,7 @@
         return True
 
     async def _adopt(self, opening: Opening) -> None:
-        """Bring up a connection that was open at a known server before this program ran."""
+        """Re-establish a connection that was open at a listed server before this program started."""
         until = self.core.now() + ADOPTION_TIMEOUT_SECONDS * 1000
         attempt = StartAttempt(0, opening.existing_server, until)
         while not self.client.disconnected.done() and self.core.now() < until:
@@ -227,15 +227,15 @@
             if result is AttemptResult.OK:
                 self.front.counts["adopted"] += 1
                 self.handle = self.core.adopt_connection(request_attributes(opening), opening.existing_server)
-                await self._stream(self.handle)
+                await self._serve_established(self.handle)
                 return
             if not result.proves_not_executed:
                 break
             await asyncio.sleep(ADOPTION_RETRY_DELAY_SECONDS)
         await self.client.answer_failed()
 
-    async def _stream(self, handle: RequestHandle) -> None:
-        """Forward lines both ways for as long as the connection is established."""
+    async def _serve_established(self, handle: RequestHandle) -> None:
+        """Forward lines in both directions until the established connection ends."""
         server = self.attempts.server
         assert server is not None
         stream = EstablishedStream(self.front, self.client, server, handle)
@@ -245,24 +245,24 @@
         await stream.run()
 
     async def _read_client(self) -> None:
-        """Forward the client's lines; see its end at any time, and tell the core before the server is up."""
+        """Forward the client's lines; report a disconnect to the core if no server is up yet."""
         if not await forward_client_lines(self.client, self.established):
             return
         self.client.mark_disconnected()
         if self.handle is not None and not self.established.done():
             self.handle.client_disconnected()
 
-    # Ends that nobody decided.
+    # Ends that are not decisions of the core.
 
-    async def answer_fault(self) -> None:
-        """After a fault of this program: answer where that is owed, migrate an established client."""
+    async def answer_after_fault(self) -> None:
+        """After an internal error, send the missing final answer, or migrate an established client."""
         if not self.client.has_final_answer:
             await self.client.answer_failed()
         elif self.established.done():
             await self.client.migrate()
 
-    def send_last_word(self) -> None:
-        """Send the final answer or the MOVE that is still owed, if it can be at once: the program ends."""
+    def send_final_answer_at_exit(self) -> None:
+        """Send the missing final answer or MOVE without waiting: the program is about to exit."""
         client = self.client
         is_established = self.established.done()
         if client.is_line_incomplete or client.has_migrated:
--- a/violetdoor/fronts/line/stream.py
+++ b/violetdoor/fronts/line/stream.py
@@ -1,4 +1,4 @@
-"""An established connection: lines are forwarded both ways until one side ends or the client migrates."""
+"""An established connection: forwards lines both ways until one side closes or the client migrates."""
 
 from __future__ import annotations
 
@@ -22,17 +22,20 @@
 US_PER_MS = 1000
 LOAD_PREFIX = b"LOAD "
 UP_PREFIX = b"UP "
-FAREWELLS = (b"BYE", b"MOVE")  # the last words of a server that ends a connection in order
-RESULT_BY_FAREWELL = {"BYE": AttemptResult.OK, "MOVE": AttemptResult.CANCELLED}  # any other end is a reset
+CLOSE_COMMANDS = (b"BYE", b"MOVE")  # sent by a server before it closes in order
+RESULT_BY_CLOSE_COMMAND = {
+    "BYE": AttemptResult.OK,
+    "MOVE": AttemptResult.CANCELLED,
+}  # otherwise a reset
 
 
 class EstablishedStream:
-    """A client and its server, from UP to the end."""
+    """The connection of a client and its server, from UP to the end."""
 
     __slots__ = (
         "client",
+        "close_command",
         "established_at_ms",
-        "farewell",
         "front",
         "last_load",
         "load_report",
@@ -43,18 +46,18 @@
     def __init__(
         self, front: Front, client: ClientConnection, server: LineSocket, request: RequestHandle
     ) -> None:
-        """Start with a server whose UP stands in its buffer, unread."""
+        """Start with a server whose UP is still unread in its buffer."""
         self.front = front
         self.client = client
         self.server = server
         self.request = request
-        self.farewell = ""  # BYE or MOVE, once the server said it
-        self.load_report: Mapping[str, float] = {}  # that came with it
+        self.close_command = ""  # BYE or MOVE; empty until the server sends one
+        self.load_report: Mapping[str, float] = {}  # that came with the close command
         self.established_at_ms = 0.0
-        self.last_load: float | None = None  # us/s that the connection asks for, as the server last reported
+        self.last_load: float | None = None  # us/s, as last reported by the server; None before
 
     async def run(self) -> None:
-        """Forward until one side ends, the core migrates the client, or the server is unresponsive."""
+        """Forward until one side closes, the core migrates the client, or the server is unresponsive."""
         request = self.request
         disconnected = self.client.disconnected
         receiving = asyncio.get_running_loop().create_task(self._forward_to_client())
@@ -81,18 +84,18 @@
             self.front.gate.record_migrated()
 
     async def _server_result(self, receiving: asyncio.Task[None]) -> AttemptResult:
-        """See that the client gets what its server's end calls for; return how the connection ended."""
+        """Return how the server ended the connection; migrate or reset the client accordingly."""
         try:
             receiving.result()
-        except LineTooLongError:  # the client had complete lines only: it may go elsewhere
-            log.warning("a server's line is too long: its client is migrated")
+        except LineTooLongError:  # the client got complete lines only, so it can migrate
+            log.warning("server sent a line over the length limit; migrating its client")
             await self.client.migrate()
             return AttemptResult.ERROR
         self.client.lines.was_reset = self.server.was_reset
-        return RESULT_BY_FAREWELL.get(self.farewell, AttemptResult.RESET)
+        return RESULT_BY_CLOSE_COMMAND.get(self.close_command, AttemptResult.RESET)
 
     async def _end_by_migration(self) -> None:
-        """Migrate the client by decision, or off an unresponsive server."""
+        """Migrate the client: by decision of the core, or because its server is unresponsive."""
         is_requested = self.request.migration_requested.done()
         self.front.counts["moved" if is_requested else "moved_silent"] += 1
         if self.front.gate is not None:
@@ -101,24 +104,24 @@
         self.request.attempt_ended(result, is_final=True)
         await self.client.migrate()
 
-    # From the client.
+    # From the client to the server.
 
     async def forward_to_server(self) -> None:
-        """Send the client's complete lines to the server; there is one at least."""
+        """Send the client's complete lines to the server; there is at least one."""
         lines, front = self.client.lines, self.front
         length = lines.complete_length()
         self.request.message_sent()
         count = lines.buffer.count(b"\n", 0, length)
         front.counts["lines_up"] += count
         if front.gate is not None:
-            front.gate.record_forwarded(2 * count)  # each has an answer
+            front.gate.record_forwarded(2 * count)  # each line and its answer
         await send_buffers(self.server.sock, [lines.view[:length]])
         lines.consume(length)
 
-    # From the server.
+    # From the server to the client.
 
     async def _forward_to_client(self) -> None:
-        """Forward the server's lines, those that came with UP first."""
+        """Forward the server's lines, starting with those that arrived together with UP."""
         server, client = self.server, self.client
         self.established_at_ms = self.front.core.now()
         while True:
@@ -126,13 +129,13 @@
                 self._read_lines(length)
                 await client.forward_from(server, length)
             if not await server.fill():
-                if server.used:  # half a line before its end: no byte is kept back, and no MOVE may follow
+                if server.used:  # incomplete last line: forward it, and send no MOVE after it
                     await client.forward_from(server, server.used)
                     client.is_line_incomplete = True
                 return
 
     def _read_lines(self, length: int) -> None:
-        """Read lines of the server in place: load notes, a farewell, or answers to the client's lines."""
+        """Parse the server's lines in place: load notes, close commands, answers to the client's lines."""
         counts, request, buffer = self.front.counts, self.request, self.server.buffer
         start = 0
         while start < length:
@@ -142,9 +145,9 @@
                 try:
                     self._record_load_note(float(buffer[start + len(LOAD_PREFIX) : stop]))
                 except ValueError:
-                    log.warning("a LOAD line has no number")
-            elif buffer.startswith(FAREWELLS, start):
-                self.farewell = buffer[start:stop].split()[0].decode()
+                    log.warning("ignoring a server's LOAD line: its value is not a number")
+            elif buffer.startswith(CLOSE_COMMANDS, start):
+                self.close_command = buffer[start:stop].split()[0].decode()
                 self.load_report = parse_load_report(bytes(buffer[start:stop]))
             elif not buffer.startswith(UP_PREFIX, start):
                 counts["lines_down"] += 1
@@ -152,13 +155,13 @@
             start = stop
 
     def _record_load_note(self, value: float) -> None:
-        """Report a LOAD line to the core as the one of the two notes that it is."""
+        """Report the value of a LOAD line to the core, as a load or as a message delay."""
         counts = self.front.counts
         if self._load_note_kind(value) is MeasurementKind.MESSAGE_DELAY:
             counts["delay_lines"] += 1
             self.request.record_measurement(MeasurementKind.MESSAGE_DELAY, value)
         else:
-            counts.setdefault("delay_lines", 0)  # printed beside load_lines from the first of these on
+            counts.setdefault("delay_lines", 0)  # printed together with load_lines from the first one on
             self.last_load = value
             self.request.record_measurement(MeasurementKind.LOAD, value / US_PER_MS)
 
