--- a/violetdoor/fronts/nats/__init__.py
+++ b/violetdoor/fronts/nats/__init__.py
@@ -1,1 +1,1 @@
-"""The NATS client protocol."""
+"""The front end for the NATS client protocol."""
--- a/violetdoor/fronts/nats/attempt.py
+++ b/violetdoor/fronts/nats/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a server: connect, present the client, wait until it has answered a PING."""
+"""One attempt at a server: connect, send the client's CONNECT, wait for the PONG to a PING."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 async def attempt_server(
     front: Front, client: NatsClient, attempt: StartAttempt
 ) -> ServerConnection | AttemptResult:
-    """Return the connection to a server that is up, or how the attempt ended otherwise.
+    """Return the connection to a server that accepted the client, or the result of the failed attempt.
 
-    Raises ClientDeniedError where the server does not admit the client.
+    Raises ClientDeniedError if the server denies the client.
     """
     if client.is_disconnected:
         return AttemptResult.CANCELLED
@@ -36,28 +36,28 @@
     connection = ServerConnection(sock, front.options.silence_timeout)
     is_up = False
     try:
-        result = await _present(front, client, attempt, connection)
+        result = await _handshake(front, client, attempt, connection)
         is_up = result is AttemptResult.OK
     finally:
         if connection.is_connect_sent:
-            front.figures.increment("tries", client.request_class)
+            front.metrics.increment("tries", client.request_class)
         if not is_up:
             await connection.close()
     return connection if is_up else result
 
 
-async def _present(
+async def _handshake(
     front: Front, client: NatsClient, attempt: StartAttempt, connection: ServerConnection
 ) -> AttemptResult:
-    """Present the client on a connection that is up; raise ClientDeniedError."""
-    if not front.core.may_start(attempt):  # it came up late: this server gets no byte
+    """Run the handshake on a connected socket; raise ClientDeniedError."""
+    if not front.core.may_start(attempt):  # connected too late: send nothing
         front.counts["begun_too_late"] += 1
         return AttemptResult.UNREACHABLE
     time_left = (attempt.timeout_at_ms - front.core.now()) / 1000
     handshake = connection.handshake(client.upstream_connect, lambda: client.is_disconnected)
     try:
         async with asyncio.timeout(time_left):
-            result = await client.unless_ended(handshake)
+            result = await client.wait_unless_ended(handshake)
     except TimeoutError:
         return AttemptResult.TIMEOUT
     if connection.is_draining:
--- a/violetdoor/fronts/nats/client.py
+++ b/violetdoor/fronts/nats/client.py
@@ -1,4 +1,4 @@
-"""The client's side of a NATS session: its CONNECT, its frames, and what is written to it."""
+"""The client's side of a NATS session: its CONNECT, its frames, and the writes to it."""
 
 from __future__ import annotations
 
@@ -29,74 +29,76 @@
 
 T = TypeVar("T")
 
-FIRST_OPERATION_TIMEOUT_SECONDS = 0.05  # that the rules wait for a client's first operation
-MAX_FRAMES_AHEAD = 8  # that they wait for
-FIRST_OPERATIONS = ("SUB", "PUB", "HPUB")  # those that the rules read
-MAX_NAME_CHARACTERS = 256  # of user and name that the gate tells clients apart by
-FINAL_WRITE_SECONDS = 0.5  # to write what is queued before the connection is closed
+FIRST_OPERATION_TIMEOUT_SECONDS = 0.05  # how long match rules wait for a client's first operation
+MAX_PREFETCHED_FRAMES = 8  # frames read while waiting for it
+FIRST_OPERATIONS = ("SUB", "PUB", "HPUB")  # operations that match rules can use
+MAX_NAME_CHARACTERS = 256  # of the user and name that identify a client to the admission gate
+FINAL_WRITE_SECONDS = 0.5  # for writing queued data before the connection is closed
 
 
 class NatsClient:
-    """One client's connection, and what its CONNECT said."""
+    """One client's connection and the values of its CONNECT."""
 
     __slots__ = (
-        "_frames_ahead",
         "_has_read_connect",
         "_loop",
         "_options",
         "_pending_read",
+        "_prefetched_frames",
         "ended",
         "front",
         "identity",
         "is_verbose",
-        "knows_headers",
         "name",
         "out",
         "reader",
         "sock",
+        "supports_headers",
         "upstream_connect",
     )
 
     def __init__(self, front: Front, sock: socket.socket) -> None:
-        """Start before the client's first frame."""
+        """Start before the client's first frame is read."""
         options = front.options
         self.front = front
         self.sock = sock
         self.reader = FrameReader(sock, CLIENT_OPERATIONS, options.max_payload)
         self.out = Outbox(sock, options.max_pending, options.write_deadline)
         self.ended: asyncio.Future[SessionEnd] = asyncio.get_running_loop().create_future()
-        self.identity: ClientIdentity | None = None  # once the client has said who it is
-        self.name = ""  # user and name, as it gave them
+        self.identity: ClientIdentity | None = None  # None until the first frame is read
+        self.name = ""  # user and name from its CONNECT
         self.is_verbose = True
-        self.knows_headers = False
-        self.upstream_connect = b""  # the CONNECT for its servers
+        self.supports_headers = False
+        self.upstream_connect = b""  # the CONNECT line sent to its servers
         self._loop = asyncio.get_running_loop()
         self._options = options
-        self._has_read_connect = False  # the first frame is a CONNECT that was carried out already
-        self._frames_ahead: list[Frame] = []  # read for the rules, and not carried out yet
-        self._pending_read: asyncio.Future[Frame | None] | None = None  # a frame that came too late for them
+        self._has_read_connect = False  # the first frame was a CONNECT and is already applied
+        self._prefetched_frames: list[Frame] = []  # read for the rules, not executed yet
+        self._pending_read: asyncio.Future[Frame | None] | None = (
+            None  # the read that did not end in time for the rules
+        )
 
     @property
     def request_class(self) -> str:
-        """Its class, empty until the client has said who it is."""
+        """The client's request class, empty until it is identified."""
         return "" if self.identity is None else self.identity.request_class
 
     @property
     def is_disconnected(self) -> bool:
-        """Whether the client has ended; its end may still stand behind operations that were not read."""
+        """Whether the client has closed its connection, even if operations before that are unread."""
         return self.ended.done() or is_peer_closed(self.sock)
 
     def end(self, end: SessionEnd) -> None:
-        """Record that the client's part is over; the first end counts."""
+        """Record how the client's side ended; only the first call counts."""
         if not self.ended.done():
             self.ended.set_result(end)
 
-    # Its first frames.
+    # The first frames.
 
     async def read_first_frame(self) -> Frame | None:
-        """Read what the client begins with; its CONNECT says who it is. None at the end of the connection.
+        """Read the first frame and identify the client by it; return None at the end of the connection.
 
-        Raises ProtocolError, and ClientDeniedError for a client that is not admitted.
+        Raises ProtocolError, or ClientDeniedError for a client that is not admitted.
         """
         try:
             async with asyncio.timeout(self._options.connect_deadline):
@@ -114,37 +116,37 @@
             self._read_connect(frame.arguments[0], first)
         else:
             self._read_connect(b"{}", frame)
-        self._pass_gate()
+        self._check_capacity()
         self._has_read_connect = frame.operation == "CONNECT"
         return frame
 
     async def _read_first_operation(self) -> Frame | None:
-        """Return the client's first SUB, PUB or HPUB, if it sends it without waiting for an answer."""
+        """Return the client's first SUB, PUB or HPUB, None if it waits for an answer before sending one."""
         until = self._loop.time() + FIRST_OPERATION_TIMEOUT_SECONDS
-        while len(self._frames_ahead) < MAX_FRAMES_AHEAD:
+        while len(self._prefetched_frames) < MAX_PREFETCHED_FRAMES:
             reading = self._pending_read = asyncio.ensure_future(self.reader.read_frame())
             await asyncio.wait((reading,), timeout=max(0.0, until - self._loop.time()))
             if not reading.done() or reading.exception():
-                return None  # what it ends with is met when it is that frame's turn
+                return None  # a later next_frame call handles the frame or the error
             frame = reading.result()
             if frame is None:
                 return None
             self._pending_read = None
-            self._frames_ahead.append(frame)
+            self._prefetched_frames.append(frame)
             if frame.operation in FIRST_OPERATIONS:
                 return frame
             if frame.operation != "PING" or self.reader.is_empty:
-                return None  # it waits for its PONG
+                return None  # it waits for an answer
         return None
 
     def handle_connect(self, frame: Frame) -> None:
-        """Carry a CONNECT out, unless it is the first one, which was read already."""
+        """Apply a CONNECT, unless it is the first one, which read_first_frame has applied."""
         if not self._has_read_connect:
             self._read_connect(frame.arguments[0], None)
         self._has_read_connect = False
 
     def _read_connect(self, text: bytes, first: Frame | None) -> None:
-        """Read a CONNECT; the server gets it as it is but for what concerns this connection."""
+        """Apply a CONNECT; servers get it with the values changed that concern only this connection."""
         try:
             values = orjson.loads(text)
         except ValueError as err:
@@ -153,14 +155,14 @@
             raise ProtocolError(PARSER_ERROR)
         self.is_verbose = bool(values.get("verbose", True))
         self.name = f"{values.get('user')} {values.get('name')}"[:MAX_NAME_CHARACTERS]
-        self.knows_headers = bool(values.get("headers", False))
+        self.supports_headers = bool(values.get("headers", False))
         self.identity = self.front.identify(values, first, self.sock)
         upstream = values | {"verbose": False, "tls_required": False, "headers": True, "protocol": 1}
-        upstream["no_responders"] = bool(values.get("no_responders")) and self.knows_headers
+        upstream["no_responders"] = bool(values.get("no_responders")) and self.supports_headers
         self.upstream_connect = b"CONNECT " + orjson.dumps(upstream) + b"\r\n"
 
-    def _pass_gate(self) -> None:
-        """Raise ClientDeniedError where the relay itself has no capacity for the client."""
+    def _check_capacity(self) -> None:
+        """Raise ClientDeniedError if the relay itself has no capacity for the client."""
         gate, identity = self.front.gate, self.identity
         if gate is None or identity is None:
             return
@@ -169,15 +171,15 @@
         name = self.name if key is None else str(key)
         if gate.check_request(identity.tenant, identity.request_class, f"{host} {name}") is not None:
             self.front.counts["shed_by_load"] += 1
-            self.front.figures.increment("shed", identity.request_class)
+            self.front.metrics.increment("shed", identity.request_class)
             raise ClientDeniedError(NO_CAPACITY)
 
-    # All further ones.
+    # All further frames.
 
     async def next_frame(self) -> Frame | None:
-        """Read on; a client that says nothing is asked for a sign of life and then given up."""
-        if self._frames_ahead:
-            return self._frames_ahead.pop(0)
+        """Return the next frame; a silent client is sent a PING and, after the same time again, is stale."""
+        if self._prefetched_frames:
+            return self._prefetched_frames.pop(0)
         reading = self._pending_read or self.reader.read_frame()
         self._pending_read = None
         ping_after = self._options.client_ping
@@ -190,8 +192,8 @@
         finally:
             ping_timer.cancel()
 
-    async def unless_ended(self, work: Awaitable[T]) -> T | None:
-        """Wait for this, or for the client's end: then None."""
+    async def wait_unless_ended(self, work: Awaitable[T]) -> T | None:
+        """Return the result of `work`, or None and cancel it if the client ends first."""
         task = asyncio.ensure_future(work)
         try:
             await asyncio.wait((task, self.ended), return_when=asyncio.FIRST_COMPLETED)
@@ -202,7 +204,7 @@
                 await asyncio.gather(task, return_exceptions=True)
 
     async def close(self, end: SessionEnd) -> None:
-        """Write what is still owed, with the -ERR of the end, and stop writing."""
+        """Write the queued data and the -ERR of the end, if there is one, then stop writing."""
         if self._pending_read is not None:
             self._pending_read.cancel()
             await asyncio.gather(self._pending_read, return_exceptions=True)
--- a/violetdoor/fronts/nats/client_operations.py
+++ b/violetdoor/fronts/nats/client_operations.py
@@ -1,4 +1,4 @@
-"""What a client does: each operation is recorded first, so that the next server gets it if one breaks."""
+"""Executes a client's operations; each is recorded first, so that the next server gets it if one fails."""
 
 from __future__ import annotations
 
@@ -30,56 +30,58 @@
 
 log = logging.getLogger("violetdoor.nats")
 
-MAX_PINGS_OWED = 64  # PINGs that a client may send while it has no server
+MAX_UNANSWERED_PINGS = 64  # PINGs of a client without a server before its next operation waits
 SUB_ARGUMENTS_WITH_QUEUE = 3
 UNSUB_ARGUMENTS_WITH_COUNT = 2
 
 
 class ClientOperations:
-    """Carries out a client's operations, on the server that it is bound to at the time."""
+    """Executes a client's operations on its current server."""
 
     __slots__ = ("_binding", "_client", "_counts", "_front")
 
     def __init__(self, front: Front, client: NatsClient, binding: ServerBinding) -> None:
-        """Start with nothing carried out."""
+        """Start before the first operation."""
         self._front = front
         self._counts = front.counts
         self._client = client
         self._binding = binding
 
     async def run(self, first: Frame) -> None:
-        """Carry out what the client says until it ends or breaks the protocol; find a stale client."""
+        """Execute the client's operations until it disconnects, violates the protocol, or is stale."""
         client = self._client
         end = END_WITHOUT_ERROR
         frame: Frame | None = first
         try:
             while frame is not None:
-                if not await self._may_carry_out(frame):
+                if not await self._wait_until_executable(frame):
                     break
-                self._carry_out(frame)
+                self._execute(frame)
                 await self._apply_backpressure()
                 frame = await client.next_frame()
         except (ProtocolError, ClientDeniedError) as err:
             self._counts["nats_malformed"] += 1
             end = SessionEnd(str(err))
         except OSError as err:
-            log.info("a client's connection broke: %s", err)
+            log.info("client connection failed: %s; ending its session", err)
         except Exception:
             self._counts["faults"] += 1
-            log.exception("a client's operation failed")
+            log.exception("internal error while executing a client's operation; ending its session")
             end = SessionEnd(INTERNAL_ERROR)
         finally:
             client.end(end)
 
-    async def _may_carry_out(self, frame: Frame) -> bool:
-        """Wait for a server where the operation needs one; what only changes the client's state does not.
+    async def _wait_until_executable(self, frame: Frame) -> bool:
+        """Wait for a server if the operation needs one; False if the client disconnects meanwhile.
 
-        False if the client ends meanwhile. Guards against an end that stands behind operations that are not
-        read while there is no server: the session would be placed for nobody.
+        Operations that only change the client's state need none. Guards against a disconnect behind
+        operations that stay unread without a server: the session would be placed after its client has gone.
         """
         binding = self._binding
         is_publication = frame.operation in ("PUB", "HPUB")
-        while binding.connection is None and (is_publication or binding.pings_owed >= MAX_PINGS_OWED):
+        while binding.connection is None and (
+            is_publication or binding.unanswered_pings >= MAX_UNANSWERED_PINGS
+        ):
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(DISCONNECT_POLL_INTERVAL_SECONDS):
                     await binding.connected.wait()
@@ -88,7 +90,7 @@
         return True
 
     async def _apply_backpressure(self) -> None:
-        """Let the client wait while much of what it published is unconfirmed or unwritten."""
+        """Wait while too many bytes of the client's publications are unconfirmed or not written yet."""
         binding = self._binding
         journal = binding.journal
         max_unconfirmed = self._front.options.max_unconfirmed_bytes
@@ -100,11 +102,11 @@
             await binding.confirmed.wait()
             connection = binding.connection
         if connection is not None:
-            with contextlib.suppress(SlowReaderError):  # its silence shows in its PONGs
+            with contextlib.suppress(SlowReaderError):  # unresponsive: found by its missing PONGs
                 await connection.out.wait_for_capacity()
 
-    def _carry_out(self, frame: Frame) -> None:
-        """Carry out one operation; raise ProtocolError or ClientDeniedError."""
+    def _execute(self, frame: Frame) -> None:
+        """Execute one operation; raise ProtocolError or ClientDeniedError."""
         match frame.operation:
             case "PONG":
                 return
@@ -125,10 +127,10 @@
             self._client.out.enqueue(b"+OK\r\n")
 
     def _ping(self) -> None:
-        """Let the server answer, so that its PONG confirms what the client did before."""
+        """Forward a PING, so that the server's PONG confirms the client's earlier operations."""
         binding = self._binding
         if binding.connection is None:
-            binding.pings_owed += 1
+            binding.unanswered_pings += 1
         else:
             binding.connection.send_ping(binding.journal.added_count, is_from_client=True)
 
@@ -167,7 +169,7 @@
         return True
 
     def _unsubscribe(self, frame: Frame) -> None:
-        """End a subscription, now or after so many messages in all; raise ProtocolError."""
+        """End a subscription, now or after a total number of messages; raise ProtocolError."""
         binding = self._binding
         sid = frame.arguments[0]
         max_messages = frame.arguments[1] if len(frame.arguments) == UNSUB_ARGUMENTS_WITH_COUNT else b"0"
--- a/violetdoor/fronts/nats/errors.py
+++ b/violetdoor/fronts/nats/errors.py
@@ -1,4 +1,4 @@
-"""Faults that end a client of the NATS front; their texts are those of the -ERR that it gets."""
+"""Errors that end a session of the NATS front; their texts are sent to the client as -ERR."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 
 class NatsClientError(Exception):
-    """A fault that ends a client's session with an -ERR of this text."""
+    """An error that ends a client's session with an -ERR of this text."""
 
 
 class ProtocolError(NatsClientError):
-    """The other side, client or server, broke the protocol."""
+    """The client or the server violated the protocol."""
 
 
 class ClientDeniedError(NatsClientError):
-    """The client is not admitted: by its server, the rules, the tenants, or for the relay's own load."""
+    """The client is denied by its server, the rules or the tenants, or because the relay is overloaded."""
 
 
 @dataclass(slots=True, frozen=True)
 class SessionEnd:
-    """How a session ends: with an -ERR, or without one since the client or the program goes."""
+    """How a session ends: with an -ERR, or without one if the client left or the program exits."""
 
     error_text: str = ""
-    drops_queued: bool = False  # what waits for the client is not written any more
+    drops_queued: bool = False  # discard the data that is queued for the client
 
 
 END_WITHOUT_ERROR = SessionEnd()
--- a/violetdoor/fronts/nats/fields.py
+++ b/violetdoor/fronts/nats/fields.py
@@ -1,4 +1,4 @@
-"""What the NATS front shows match rules of a client: its CONNECT, its first operation, its address."""
+"""The client fields that match rules can use on the NATS front: CONNECT, first operation, address."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
     packed,
 )
 
-# Bytes; what is longer counts as missing.
+# Limits of string fields in bytes; a longer value counts as missing.
 MAX_NAME_BYTES = 128
-MAX_WORD_BYTES = 32
+MAX_SHORT_TEXT_BYTES = 32
 MAX_SUBJECT_BYTES = 255
 MAX_HEADER_BYTES = 256
 MAX_HEADERS = 64
 MAX_PORT = 65_535
 MAX_SIZE_BYTES = 1 << 40
-NO_ADDRESS = bytes(4)  # where the peer's address does not read
+NO_ADDRESS = bytes(4)  # used where the peer's address cannot be parsed
 SUB_ARGUMENTS_WITH_QUEUE = 3
 
 SCHEMA = Schema(
@@ -40,12 +40,14 @@
         "peer.port": Field(INT, low=0, high=MAX_PORT, about="the client's port"),
         "connect.user": Field(optional(STRING), size=MAX_NAME_BYTES, about="user of CONNECT"),
         "connect.name": Field(optional(STRING), size=MAX_NAME_BYTES, about="name of CONNECT"),
-        "connect.lang": Field(optional(STRING), size=MAX_WORD_BYTES, about="lang of CONNECT"),
-        "connect.version": Field(optional(STRING), size=MAX_WORD_BYTES, about="version of CONNECT"),
+        "connect.lang": Field(optional(STRING), size=MAX_SHORT_TEXT_BYTES, about="lang of CONNECT"),
+        "connect.version": Field(optional(STRING), size=MAX_SHORT_TEXT_BYTES, about="version of CONNECT"),
         "connect.verbose": Field(BOOL, about="verbose of CONNECT"),
         "connect.headers": Field(BOOL, about="headers of CONNECT"),
         "first.op": Field(
-            optional(STRING), size=MAX_WORD_BYTES, about="SUB, PUB or HPUB: the first of these, where known"
+            optional(STRING),
+            size=MAX_SHORT_TEXT_BYTES,
+            about="SUB, PUB or HPUB: the first of these, where known",
         ),
         "first.subject": Field(optional(STRING), size=MAX_SUBJECT_BYTES, about="its subject"),
         "first.queue": Field(optional(STRING), size=MAX_SUBJECT_BYTES, about="the queue group of a SUB"),
@@ -61,7 +63,7 @@
 
 @dataclass(slots=True)
 class FirstOperation:
-    """The fields of a client's first SUB, PUB or HPUB; None for what it has not, or that is too long."""
+    """The fields of a client's first SUB, PUB or HPUB; None if missing or too long."""
 
     operation: str | None = None
     subject: str | None = None
@@ -71,15 +73,15 @@
 
 
 def rule_request(connect: Mapping[str, Any], first: Frame | None, peer: tuple[Any, ...]) -> tuple[Any, ...]:
-    """Return the values of a client's fields, in the order of the schema; `peer` as getpeername has it."""
+    """Return a client's field values in the order of the schema; `peer` is the result of getpeername."""
     operation = _first_operation(first)
     return (
         packed(str(peer[0]).partition("%")[0]) or NO_ADDRESS,
         peer[1],
         fitting(connect.get("user"), MAX_NAME_BYTES),
         fitting(connect.get("name"), MAX_NAME_BYTES),
-        fitting(connect.get("lang"), MAX_WORD_BYTES),
-        fitting(connect.get("version"), MAX_WORD_BYTES),
+        fitting(connect.get("lang"), MAX_SHORT_TEXT_BYTES),
+        fitting(connect.get("version"), MAX_SHORT_TEXT_BYTES),
         bool(connect.get("verbose", True)),
         bool(connect.get("headers", False)),
         operation.operation,
@@ -104,7 +106,7 @@
 
 
 def _text(raw: bytes, max_bytes: int) -> str | None:
-    """Return the text of bytes, None where they are too long or no UTF-8."""
+    """Decode UTF-8 text; None if it is too long or invalid."""
     if len(raw) > max_bytes:
         return None
     try:
@@ -114,7 +116,7 @@
 
 
 def _headers(block: bytes) -> Iterable[tuple[str, str]]:
-    """Yield names and values of a block of headers, but those that are too long or no UTF-8."""
+    """Yield names and values of a header block, without those that are too long or not UTF-8."""
     for line in block.split(b"\r\n")[1:]:
         name, colon, value = line.partition(b":")
         name_text = _text(name.strip(), MAX_HEADER_BYTES)
--- a/violetdoor/fronts/nats/frames.py
+++ b/violetdoor/fronts/nats/frames.py
@@ -1,4 +1,4 @@
-"""Frames of the NATS client protocol: read from a socket, parsed in one reused buffer, and made."""
+"""Frames of the NATS client protocol: reading and parsing in one reused buffer, and encoding."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 MAX_CONTROL_LINE_BYTES = 4096
 INITIAL_BUFFER_BYTES = 8192
-MAX_SIZE_DIGITS = 9  # of a payload's size
+MAX_SIZE_DIGITS = 9  # digits of a payload's size
 LINE_END = b"\r\n"
 VERSION_LINE = b"NATS/1.0"
 MESSAGE_ID_HEADER = b"nats-msg-id"
 
 
 class ArgumentCount(NamedTuple):
-    """How many arguments an operation takes."""
+    """The number of arguments that an operation takes."""
 
     minimum: int
     maximum: int
@@ -49,40 +49,40 @@
     "+OK": ArgumentCount(0, 0),
     "-ERR": ArgumentCount(0, 1),
 }
-PAYLOAD_OPERATIONS = {"PUB", "HPUB", "MSG", "HMSG"}  # the last argument is the size of what follows
-HEADER_OPERATIONS = {"HPUB", "HMSG"}  # the argument before it is the size of its headers
-REST_OF_LINE_OPERATIONS = {"CONNECT", "INFO", "-ERR"}  # the rest of the line is one argument
+PAYLOAD_OPERATIONS = {"PUB", "HPUB", "MSG", "HMSG"}  # last argument: size of headers and payload in bytes
+HEADER_OPERATIONS = {"HPUB", "HMSG"}  # last argument but one: size of the headers in bytes
+REST_OF_LINE_OPERATIONS = {"CONNECT", "INFO", "-ERR"}  # one argument: the rest of the line
 
 
 @dataclass(slots=True, frozen=True)
 class Frame:
-    """One operation."""
+    """One operation with its arguments and payload."""
 
     operation: str
     arguments: tuple[bytes, ...]
-    raw: bytes  # all of it, as it came
+    raw: bytes  # the frame's bytes as received
     headers: bytes = b""
     payload: bytes = b""
 
 
 class FrameReader:
-    """Reads frames from one socket; its buffer grows no further than one frame may be long."""
+    """Reads frames from one socket; its buffer grows to the maximum length of one frame at most."""
 
     def __init__(
         self, sock: socket.socket, operations: Mapping[str, ArgumentCount], max_payload_bytes: int
     ) -> None:
-        """Start with an empty buffer; `operations` are those that the other side may use."""
+        """Start with an empty buffer; `operations` are the ones that the peer may send."""
         self.sock = sock
         self.operations = operations
         self.max_payload_bytes = max_payload_bytes
         self.buffer = bytearray(INITIAL_BUFFER_BYTES)
-        self.start = 0  # of the bytes that are not parsed yet
+        self.start = 0  # offset of the first byte that is not parsed yet
         self.stop = 0
-        self.last_received_at = 0.0  # s of the loop
+        self.last_received_at = 0.0  # loop time, s
 
     @property
     def is_empty(self) -> bool:
-        """Whether all bytes that came are parsed."""
+        """Whether all received bytes are parsed."""
         return self.start == self.stop
 
     async def read_frame(self) -> Frame | None:
@@ -101,9 +101,9 @@
             if not await self._fill(needed_bytes):
                 return None
 
-    def _parse(self, body: int) -> Frame | int:
-        """Return the frame whose line stops at `body`, or its length where some of it is missing."""
-        line = bytes(self.buffer[self.start : body]).rstrip(LINE_END)
+    def _parse(self, body_start: int) -> Frame | int:
+        """Return the frame whose line ends at `body_start`, or its length in bytes if it is incomplete."""
+        line = bytes(self.buffer[self.start : body_start]).rstrip(LINE_END)
         word, _, rest = line.strip(b" \t").replace(b"\t", b" ").partition(b" ")
         operation = word.decode("ascii", "replace").upper()
         if operation not in self.operations:
@@ -112,7 +112,7 @@
         minimum, maximum = self.operations[operation]
         if not minimum <= len(arguments) <= maximum:
             raise ProtocolError(PARSER_ERROR)
-        stop = body
+        stop = body_start
         headers = payload = b""
         if operation in PAYLOAD_OPERATIONS:
             size = _parse_size(arguments[-1])
@@ -121,29 +121,29 @@
                 raise ProtocolError(PARSER_ERROR)
             if size > self.max_payload_bytes:
                 raise ProtocolError(PAYLOAD_TOO_LONG)
-            payload_stop = body + size
+            payload_stop = body_start + size
             stop = payload_stop + len(LINE_END)
             if stop > self.stop:
                 return stop - self.start
-            headers = bytes(self.buffer[body : body + header_size])
-            payload = bytes(self.buffer[body + header_size : payload_stop])
-            is_ended = self.buffer[payload_stop:stop] == LINE_END
-            if not is_ended or (headers and not headers.startswith(VERSION_LINE)):
+            headers = bytes(self.buffer[body_start : body_start + header_size])
+            payload = bytes(self.buffer[body_start + header_size : payload_stop])
+            is_terminated = self.buffer[payload_stop:stop] == LINE_END
+            if not is_terminated or (headers and not headers.startswith(VERSION_LINE)):
                 raise ProtocolError(PARSER_ERROR)
         raw = bytes(self.buffer[self.start : stop])
         self.start = stop
         return Frame(operation, arguments, raw, headers, payload)
 
     async def _fill(self, needed_bytes: int) -> bool:
-        """Read more, with room for a frame of this length; False at the end of the connection."""
+        """Receive more bytes, with room for a frame of this length; False at the end of the connection."""
         if self.start:
             unparsed = self.stop - self.start
             self.buffer[:unparsed] = self.buffer[self.start : self.stop]
             self.start = 0
             self.stop = unparsed
-        is_grown = len(self.buffer) > INITIAL_BUFFER_BYTES
-        if not self.stop and is_grown and needed_bytes <= INITIAL_BUFFER_BYTES:
-            # One large message must not keep its memory for hours.
+        has_grown = len(self.buffer) > INITIAL_BUFFER_BYTES
+        if not self.stop and has_grown and needed_bytes <= INITIAL_BUFFER_BYTES:
+            # Release the memory of a large message: an idle connection would keep it for hours.
             self.buffer = bytearray(INITIAL_BUFFER_BYTES)
         if needed_bytes > len(self.buffer):
             self.buffer.extend(bytes(needed_bytes - len(self.buffer)))
@@ -175,30 +175,30 @@
 
 
 def subscribe(sid: bytes, subject: bytes, queue: bytes) -> bytes:
-    """Return a SUB line; no queue group if that is empty."""
+    """Return a SUB line, without a queue group if `queue` is empty."""
     words = [b"SUB", subject, queue, sid] if queue else [b"SUB", subject, sid]
     return b" ".join(words) + LINE_END
 
 
 def unsubscribe(sid: bytes, max_messages: int = 0) -> bytes:
-    """Return an UNSUB line, at once or after so many messages."""
+    """Return an UNSUB line that takes effect after `max_messages` messages, or at once if that is 0."""
     return b"UNSUB %b %d\r\n" % (sid, max_messages) if max_messages else b"UNSUB %b\r\n" % sid
 
 
 def status(sid: bytes, subject: bytes, code: int) -> bytes:
-    """Return a message that is a status and nothing else."""
+    """Return an HMSG with a status line only."""
     headers = b"%b %d\r\n\r\n" % (VERSION_LINE, code)
     return b"HMSG %b %b %d %d\r\n%b\r\n" % (subject, sid, len(headers), len(headers), headers)
 
 
 def without_headers(frame: Frame) -> bytes:
-    """Return an HMSG as a MSG, for a client that knows no headers."""
+    """Convert an HMSG to a MSG, for a client that does not support headers."""
     line = b" ".join([b"MSG", *frame.arguments[:-2], b"%d" % len(frame.payload)])
     return line + LINE_END + frame.payload + LINE_END
 
 
 def message_id(headers: bytes) -> bytes:
-    """Return the Nats-Msg-Id in a block of headers, empty if there is none."""
+    """Return the Nats-Msg-Id of a header block, empty if there is none."""
     for line in headers.split(LINE_END)[1:]:
         name, colon, value = line.partition(b":")
         if colon and name.strip().lower() == MESSAGE_ID_HEADER:
@@ -214,7 +214,7 @@
 
 
 def is_valid_subject(subject: bytes, *, allow_wildcards: bool) -> bool:
-    """Tell whether a subject has the form that the protocol wants."""
+    """Return whether a subject is valid in the protocol."""
     tokens = subject.split(b".")
     if not all(tokens):
         return False
@@ -224,7 +224,7 @@
 
 
 def matches(pattern: bytes, subject: bytes) -> bool:
-    """Tell whether a subscription's subject includes a message's subject."""
+    """Return whether a subscription's subject matches a message's subject."""
     pattern_tokens = pattern.split(b".")
     tokens = subject.split(b".")
     for position, token in enumerate(pattern_tokens):
--- a/violetdoor/fronts/nats/front.py
+++ b/violetdoor/fronts/nats/front.py
@@ -1,4 +1,4 @@
-"""The listening socket of the NATS protocol: accepts clients, and serves each in a session."""
+"""The front end of the NATS protocol: accepts clients and serves each in a session."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 if TYPE_CHECKING:
     from violetdoor.services import ServiceHost
 
-PROTOCOL_VERSION = "2.10.0"  # of the server whose protocol this front speaks
-SERVER_ID_BYTES = 28  # as long as the public key that a NATS server has for an id
-ANY_USER = "*"  # in the tenants' lists of users
-RELIEF_FRACTION = 0.1  # of the sessions, the longest queues first, that are throttled under memory pressure
-RELIEF_MAX_PENDING_BYTES = 16_384  # that may wait for each of them
-MIGRATION_FRACTION = RELIEF_FRACTION / 10  # of the sessions, ended at a time under memory pressure
+PROTOCOL_VERSION = "2.10.0"  # the NATS server version whose protocol this front implements
+SERVER_ID_BYTES = 28  # the length of a NATS server's public key, which is its id
+ANY_USER = "*"  # stands for any user in the tenants' lists of users
+THROTTLED_FRACTION = 0.1  # of the sessions, longest queues first, throttled under memory pressure
+THROTTLED_MAX_PENDING_BYTES = 16_384  # queue limit of a throttled session
+MIGRATION_FRACTION = THROTTLED_FRACTION / 10  # of the sessions, ended per relieve_memory call
 SHUTDOWN_STEP_SECONDS = 0.05  # between two steps of ending sessions
-GRACE_FRACTION = 0.3  # of the shutdown, in which clients go by themselves
-ENDED_FRACTION = 0.7  # of the shutdown, by which all sessions were asked to end
+GRACE_FRACTION = 0.3  # of the shutdown time, while clients may disconnect by themselves
+END_REQUESTED_FRACTION = 0.7  # of the shutdown time, after which all sessions are asked to end
 
 
 class NatsFront:
-    """Accepts NATS clients, and owns what their sessions share."""
+    """Accepts NATS clients and owns the state that their sessions share."""
 
     def __init__(self, host: ServiceHost, options: NatsOptions) -> None:
         """Listen at the host's address, or on the socket that it inherited."""
@@ -49,53 +49,55 @@
         self.core = host.core
         self.directory = host.directory
         self.counts = host.counters
-        self.figures = host.metrics
+        self.metrics = host.metrics
         self.rules = host.rules
         self.gate = host.gate
         self.options = options
         self.deadlines_ms: Mapping[str, float] = config.deadlines
-        self.tenants = options.tenants  # a reload may change these and the deadlines, nothing else
+        self.tenants = options.tenants  # with the deadlines, the only options that a reload changes
         self.name = config.name
         self.server_id = os.urandom(SERVER_ID_BYTES).hex().upper()
         self.is_shutting_down = False
         self.sessions: set[Session] = set()
         self._client_ids = itertools.count(1)
-        self._full = self.info(0) + error(TOO_MANY_CONNECTIONS)
+        self._full_answer = self.info(0) + error(TOO_MANY_CONNECTIONS)
         listener = host.inherited_listener or listen(config.listen, reuse_port=True)
-        self.acceptor = Acceptor(listener, self._serve, host.counters, config.max_sockets, self._full)
+        self.acceptor = Acceptor(listener, self._serve, host.counters, config.max_sockets, self._full_answer)
         if self.gate is not None:
             self.acceptor.rejection_for = self._shed_at_accept
 
     def reconfigure(self, deadlines_ms: Mapping[str, float], tenants: dict[str, tuple[str, str]]) -> None:
-        """Use these from now on; an open session keeps its class, also one that was removed."""
+        """Apply new deadlines and tenants; an open session keeps its class even if that was removed."""
         self.deadlines_ms = {**self.deadlines_ms, **deadlines_ms}
         self.tenants = tenants
 
     async def run(self) -> None:
-        """Accept clients for ever."""
+        """Accept clients until cancelled."""
         await self.acceptor.run()
 
-    def queued(self) -> float:
-        """Return the bytes that wait for clients in all."""
+    def queued_bytes(self) -> float:
+        """Return the total of bytes that are queued for clients."""
         return float(sum(session.client.out.queued_bytes for session in self.sessions))
 
     def relieve_memory(self, *, under_pressure: bool, migrate: bool) -> None:
-        """Under memory pressure read less for the longest queues, end sessions of the lowest priority."""
+        """Under memory pressure limit the longest queues, and with `migrate` end low-priority sessions."""
         if not under_pressure:
             for session in self.sessions:
                 session.client.out.max_bytes = self.options.max_pending
             return
-        longest = sorted(self.sessions, key=lambda session: session.client.out.queued_bytes, reverse=True)
-        for session in longest[: math.ceil(len(longest) * RELIEF_FRACTION)]:
+        by_queue_length = sorted(
+            self.sessions, key=lambda session: session.client.out.queued_bytes, reverse=True
+        )
+        for session in by_queue_length[: math.ceil(len(by_queue_length) * THROTTLED_FRACTION)]:
             out = session.client.out
-            out.max_bytes = min(out.max_bytes, RELIEF_MAX_PENDING_BYTES)
+            out.max_bytes = min(out.max_bytes, THROTTLED_MAX_PENDING_BYTES)
         if migrate:
-            candidates = [s for s in longest if s.request_class and not s.end_requested.done()]
+            candidates = [s for s in by_queue_length if s.request_class and not s.end_requested.done()]
             for session in self.core.select_lowest_priority(candidates, MIGRATION_FRACTION):
                 session.end_requested.set_result(None)
 
     def info(self, client_id: int) -> bytes:
-        """Return the INFO line for a client, 0 for none; during shutdown it asks clients to go elsewhere."""
+        """Return the INFO line for a client (id 0: none); during shutdown it sets `ldm`, lame-duck mode."""
         host, port = self.acceptor.address if client_id else ("", 0)
         values: dict[str, Any] = {
             "server_id": self.server_id,
@@ -115,13 +117,13 @@
 
     @property
     def reads_first_operation(self) -> bool:
-        """Whether the rules read the first operation behind a CONNECT."""
+        """Whether the rules use the first operation after a CONNECT."""
         return self.rules is not None and any(name.startswith("first.") for name in self.rules.used_fields)
 
     def identify(
         self, connect: Mapping[str, Any], first: Frame | None, sock: socket.socket
     ) -> ClientIdentity:
-        """Return what a client is, by the rules and, where they leave it open, by the tenants' users.
+        """Return a client's identity from the rules and, where they don't set it, from the tenants' users.
 
         Raises ClientDeniedError for a client that neither admits.
         """
@@ -141,19 +143,19 @@
             tenant = verdict.tenant
         if verdict.refusal is not None:
             self.counts["ruled_out"] += 1
-            self.figures.increment("errors", request_class)
+            self.metrics.increment("errors", request_class)
             raise ClientDeniedError(printable_reason(verdict.refusal))
         if not request_class:
             raise ClientDeniedError(AUTHORIZATION_VIOLATION)
         return ClientIdentity(tenant, request_class, verdict.group, verdict.key)
 
     def _shed_at_accept(self, client: str) -> bytes | None:
-        """Return what a client is told before it is read from, if even reading is too much."""
+        """Return the answer to a client that is shed before it is read from, None to accept it."""
         assert self.gate is not None
-        return None if self.gate.check_connection(client) is None else self._full
+        return None if self.gate.check_connection(client) is None else self._full_answer
 
     async def _serve(self, sock: socket.socket) -> bool:
-        """Serve one client; its connection ends in order."""
+        """Serve one client; return False: its connection is closed, never reset."""
         client_id = next(self._client_ids)
         if self.is_shutting_down:
             await send_buffers(sock, [self.info(client_id) + error(SERVER_SHUTDOWN)])
@@ -167,7 +169,7 @@
         return False
 
     async def shut_down(self) -> None:
-        """Notify all clients, let them go, end the rest one after another."""
+        """Notify all clients, give them time to disconnect, then end the other sessions evenly over time."""
         self.is_shutting_down = True
         for session in self.sessions:
             session.client.out.enqueue(self.info(session.client_id))
@@ -177,7 +179,7 @@
         has_successor = not self.acceptor.accepting_enabled.is_set()
         grace = 0.0 if has_successor else GRACE_FRACTION
         first_end = started_at + duration * grace
-        last_end = started_at + duration * ENDED_FRACTION
+        last_end = started_at + duration * END_REQUESTED_FRACTION
         while self.sessions and loop.time() < started_at + duration:
             if loop.time() >= first_end:
                 waiting = [session for session in self.sessions if not session.end_requested.done()]
--- a/violetdoor/fronts/nats/front_protocol.py
+++ b/violetdoor/fronts/nats/front_protocol.py
@@ -1,4 +1,4 @@
-"""What the parts of a session use of the front that accepted its client; `NatsFront` is one."""
+"""The interface of the front that a session's parts use; `NatsFront` implements it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientIdentity:
-    """What a client counts as."""
+    """The tenant, class, group and key of a client."""
 
     tenant: str
     request_class: str
@@ -30,25 +30,25 @@
 
 
 class Front(Protocol):
-    """The front of a session."""
+    """The front that accepted a session's client."""
 
     core: Controller
     directory: ServerDirectory
     counts: Counters
-    figures: Metrics
+    metrics: Metrics
     acceptor: Acceptor
     gate: AdmissionGate | None
     options: NatsOptions
-    deadlines_ms: Mapping[str, float]  # by class
+    deadlines_ms: Mapping[str, float]  # by request class
 
     @property
     def reads_first_operation(self) -> bool:
-        """Whether the rules read the first operation behind a CONNECT."""
+        """Whether the rules use the first operation after a CONNECT."""
 
     def info(self, client_id: int) -> bytes:
-        """Return the INFO line for the client of this id."""
+        """Return the INFO line for the client with this id."""
 
     def identify(
         self, connect: Mapping[str, Any], first: Frame | None, sock: socket.socket
     ) -> ClientIdentity:
-        """Return what a client counts as; raise ClientDeniedError where it is not admitted."""
+        """Return a client's identity; raise ClientDeniedError if it is not admitted."""
--- a/violetdoor/fronts/nats/options.py
+++ b/violetdoor/fronts/nats/options.py
@@ -1,4 +1,4 @@
-"""What an operator may set of the NATS front."""
+"""The operator's settings of the NATS front."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 class NatsOptions(Nats):
-    """The settings of the NATS front, and who belongs to which tenant."""
+    """The settings of the NATS front, and the tenant of each user."""
 
-    tenants: dict[str, tuple[str, str]] = msgspec.field(default_factory=dict)  # user, or *: tenant and class
+    tenants: dict[str, tuple[str, str]] = msgspec.field(default_factory=dict)  # user or *: (tenant, class)
--- a/violetdoor/fronts/nats/server_connection.py
+++ b/violetdoor/fronts/nats/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a NATS-speaking server: the handshake, the order of its PINGs, its liveness."""
+"""One connection to a NATS server: handshake, pending PINGs, liveness."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from violetdoor.net.outbox import Outbox
 from violetdoor.net.sockets import close_socket
 
-MAX_SERVER_PAYLOAD_BYTES = 1024 * 1024  # of one message from a server
-MAX_QUEUED_BYTES = 256 * 1024  # towards a server before its client waits
-# The -ERR texts by which a server rejects a connection without having done anything with it.
+MAX_SERVER_PAYLOAD_BYTES = 1024 * 1024  # limit of one message from a server
+MAX_QUEUED_BYTES = 256 * 1024  # queue limit towards a server; beyond it the client waits
+# The -ERR texts with which a server rejects a connection before executing anything.
 REJECTION_TEXTS = ("maximum connections exceeded", "maximum account active connections exceeded")
 DENIAL_TEXTS = (
     "authorization violation",
@@ -31,51 +31,51 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingPing:
-    """A PING that has no PONG yet; `journal_mark` is the journal's count when it was sent."""
+    """A PING without a PONG; `journal_mark` is the journal's `added_count` when it was sent."""
 
     journal_mark: int
     sent_at: float
     is_from_client: bool = False
-    fence: asyncio.Future[None] | None = None  # done with its PONG
+    fence: asyncio.Future[None] | None = None  # completed by its PONG
 
 
 class ServerConnection:
-    """A connection to a server."""
+    """A connection to a NATS server."""
 
     def __init__(self, sock: socket.socket, write_timeout_seconds: float) -> None:
-        """Start on a connected socket; the server may take nothing for this time."""
+        """Start on a connected socket; a write fails if the server reads nothing for the timeout."""
         self.sock = sock
         self.reader = FrameReader(sock, SERVER_OPERATIONS, MAX_SERVER_PAYLOAD_BYTES)
         self.out = Outbox(sock, MAX_QUEUED_BYTES, write_timeout_seconds)
         self.pending_pings: deque[PendingPing] = deque()  # oldest first
-        self.info: dict[str, Any] = {}  # of its INFO lines, the latest values
-        self.denial = ""  # the text of an -ERR that does not admit the client
+        self.info: dict[str, Any] = {}  # merged values of all INFO lines, the latest of each
+        self.denial = ""  # text of the -ERR that denied the client; empty if none did
         self.is_connect_sent = False
 
     @property
     def is_draining(self) -> bool:
-        """Whether the server said that it drains (lame duck)."""
+        """Whether the server announced lame-duck mode."""
         return bool(self.info.get("ldm"))
 
     def send_ping(
         self, journal_mark: int, *, is_from_client: bool = False, fence: asyncio.Future[None] | None = None
     ) -> None:
-        """Send a PING, whose PONG confirms what went before it."""
+        """Send a PING; its PONG confirms everything that was sent before it."""
         now = asyncio.get_running_loop().time()
         self.pending_pings.append(PendingPing(journal_mark, now, is_from_client, fence))
         self.out.enqueue(b"PING\r\n")
 
     def unresponsive_seconds(self) -> float:
-        """Return for how long this server has owed a PONG without having sent anything."""
+        """Return the time in s without any data from the server while a PONG is due, 0 if none is due."""
         if not self.pending_pings:
             return 0.0
         last_sign_at = max(self.reader.last_received_at, self.pending_pings[0].sent_at)
         return asyncio.get_running_loop().time() - last_sign_at
 
     async def handshake(self, connect: bytes, is_client_disconnected: Callable[[], bool]) -> AttemptResult:
-        """Present the client; the server is up once it has answered a PING.
+        """Send the client's CONNECT; the server is up once it answers a PING.
 
-        A server's INFO can come late: it gets no CONNECT if the client has disconnected by then.
+        If the client disconnects before the server's INFO arrives, no CONNECT is sent.
         """
         try:
             while (frame := await self.reader.read_frame()) is not None:
@@ -89,7 +89,7 @@
     def _handle_handshake_frame(
         self, frame: Frame, connect: bytes, is_client_disconnected: Callable[[], bool]
     ) -> AttemptResult | None:
-        """Return how the handshake ends with this frame, None if it goes on."""
+        """Return the result if this frame ends the handshake, else None."""
         match frame.operation:
             case "INFO":
                 self.update_info(frame.arguments[0])
@@ -110,9 +110,9 @@
     def _send_connect(
         self, connect: bytes, is_client_disconnected: Callable[[], bool]
     ) -> AttemptResult | None:
-        """Answer an INFO with the client's CONNECT, once; return why not, if so."""
+        """Answer the first INFO with the client's CONNECT; return a result if the attempt ends instead."""
         if self.info.get("tls_required") or self.is_draining:
-            return AttemptResult.OVERLOADED  # nothing was sent to it
+            return AttemptResult.OVERLOADED  # nothing was sent, so nothing was executed
         if self.is_connect_sent:
             return None
         if is_client_disconnected():
@@ -122,13 +122,13 @@
         return None
 
     def update_info(self, text: bytes) -> None:
-        """Take in the values of an INFO; raise ProtocolError or ValueError."""
+        """Merge the values of an INFO; raise ProtocolError or ValueError."""
         info = orjson.loads(text)
         if not isinstance(info, dict):
             raise ProtocolError(PARSER_ERROR)
         self.info |= info
 
     async def close(self) -> None:
-        """Close it: nothing that it may still say is read."""
+        """Close the connection without reading further data."""
         await self.out.close()
         close_socket(self.sock)
--- a/violetdoor/fronts/nats/server_reader.py
+++ b/violetdoor/fronts/nats/server_reader.py
@@ -1,4 +1,4 @@
-"""The reading side of a server: its messages go to the client, its PONGs confirm publications."""
+"""Reads a server: forwards its messages to the client, and confirms publications by its PONGs."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 log = logging.getLogger("violetdoor.nats")
 
-LIVENESS_CHECK_SECONDS = 0.05  # between two
-# Errors that close nothing, and go to the client: it may be written otherwise.
+LIVENESS_CHECK_SECONDS = 0.05  # between two liveness checks
+# Errors that do not close a connection; they are forwarded, as the client may be able to handle them.
 FORWARDED_ERRORS = ("permissions violation", "invalid subject", "maximum subscriptions")
 
 
 class ServerReader:
-    """Reads one server for one client, from the handshake to the end."""
+    """Reads one server for one client, from the handshake until the connection ends."""
 
     __slots__ = ("_binding", "_client", "_connection", "_counts", "_front", "_loop", "_request")
 
     def __init__(
         self, front: Front, client: NatsClient, binding: ServerBinding, request: RequestHandle
     ) -> None:
-        """Read the server that the binding is set up on."""
+        """Read the current server of the binding."""
         assert binding.connection is not None
         self._front = front
         self._counts = front.counts
@@ -43,7 +43,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def run(self) -> None:
-        """Forward what the server says until it ends; raise OSError where the client takes nothing."""
+        """Handle the server's frames until it disconnects; raise OSError if the client stops reading."""
         connection = self._connection
         try:
             while (frame := await connection.reader.read_frame()) is not None:
@@ -52,14 +52,16 @@
                 else:
                     self._handle(frame)
         except (ProtocolError, ValueError) as err:
-            log.warning("server %s breaks the protocol: %s", self._request.server, err)
+            log.warning(
+                "server %s violated the NATS protocol: %s; closing its connection", self._request.server, err
+            )
 
     async def watch_liveness(self) -> None:
-        """Ask the server for signs of life; return once it has given none for too long."""
+        """Send PINGs to the server; return once it has been silent for the silence timeout."""
         connection, options = self._connection, self._front.options
         next_ping_at = self._loop.time()
         while not connection.out.error:
-            # One that is not read from, since its client takes nothing, can show no sign of life.
+            # While the client's queue is full the server is not read from, so its silence means nothing.
             is_read = not self._client.out.is_full
             if is_read and connection.unresponsive_seconds() >= options.silence_timeout:
                 return
@@ -69,7 +71,7 @@
             await asyncio.sleep(LIVENESS_CHECK_SECONDS)
 
     def _handle(self, frame: Frame) -> None:
-        """Carry out what is no message."""
+        """Handle a frame other than a message."""
         connection, client, request = self._connection, self._client, self._request
         match frame.operation:
             case "PING":
@@ -87,31 +89,31 @@
                 if text.lower().startswith(FORWARDED_ERRORS):
                     client.out.enqueue(frame.raw)
                 else:
-                    log.warning("server %s says -ERR %s", request.server, text)
+                    log.warning("server %s sent -ERR %s; not forwarded to its client", request.server, text)
 
     async def _forward_message(self, frame: Frame) -> None:
-        """Deliver a message, then wait while too much is queued for the client."""
+        """Deliver a message, then wait while the client's queue is full."""
         if self._front.gate is not None:
             self._front.gate.record_forwarded()
         self._deliver(frame)
         out = self._client.out
         if out.is_full:
             await out.wait_for_capacity()
-            # It was not read from meanwhile, so it was not unresponsive.
+            # The server was not read from meanwhile, so this time does not count as silence.
             self._connection.reader.last_received_at = self._loop.time()
 
     def _deliver(self, frame: Frame) -> None:
-        """Give the client one message, unless it had it already."""
+        """Queue one message for the client, unless it is a duplicate."""
         binding, client = self._binding, self._client
         subscription = binding.subscriptions.get(frame.arguments[1])
         if subscription is None:
             self._counts["messages_unwanted"] += 1
             return
         subscription.received += 1
-        identity = frames.message_id(frame.headers)
-        if identity and subscription.is_duplicate(identity, self._front.options.repeat_window):
+        dedup_id = frames.message_id(frame.headers)
+        if dedup_id and subscription.is_duplicate(dedup_id, self._front.options.repeat_window):
             self._counts["messages_repeated"] += 1
-            if subscription.max_messages:  # the server counted it: set the count up again
+            if subscription.max_messages:  # the server counted the duplicate: restore the count
                 lines = frames.unsubscribe(subscription.sid) + subscription.replay()
                 self._connection.out.enqueue(lines)
             return
@@ -119,13 +121,13 @@
         subscription.delivered += 1
         if subscription.is_exhausted:
             del binding.subscriptions[subscription.sid]
-        if frame.operation == "HMSG" and not client.knows_headers:
+        if frame.operation == "HMSG" and not client.supports_headers:
             client.out.enqueue(frames.without_headers(frame))
         else:
             client.out.enqueue(frame.raw)
 
     def _handle_pong(self) -> None:
-        """Confirm all that went before the PING that this answers."""
+        """Confirm the publications that were sent before the PING that this PONG answers."""
         pending_pings = self._connection.pending_pings
         if not pending_pings:
             return
--- a/violetdoor/fronts/nats/service.py
+++ b/violetdoor/fronts/nats/service.py
@@ -1,4 +1,4 @@
-"""The NATS front as the program's service."""
+"""The service that runs the NATS front."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """Serves NATS clients."""
 
     def __init__(self, host: ServiceHost) -> None:
-        """Listen; the host's configuration says where."""
+        """Listen at the address in the host's configuration."""
         options = host.config.nats
         assert options is not None
         self.core = host.core
@@ -21,30 +21,30 @@
         self.acceptor = self.front.acceptor
 
     async def serve(self) -> None:
-        """Accept clients until this is cancelled."""
+        """Accept clients until cancelled."""
         await self.front.run()
 
     def begin_shutdown(self) -> None:
-        """Open no session for clients that come from now on: `drain` is called next."""
+        """Stop opening sessions for new clients; `drain` is called next."""
         self.front.is_shutting_down = True
 
     async def drain(self) -> None:
-        """Let clients go, end the rest, accept no more."""
+        """Give clients time to disconnect, end the other sessions, stop accepting."""
         await self.front.shut_down()
 
     def queued_bytes(self) -> float:
-        """Return the bytes that wait for clients in all."""
-        return self.front.queued()
+        """Return the total of bytes that are queued for clients."""
+        return self.front.queued_bytes()
 
     def relieve_memory(self, *, under_pressure: bool, migrate: bool) -> None:
-        """Under memory pressure read less for the longest queues, and end sessions of the lowest priority."""
+        """Under memory pressure limit the longest queues, and with `migrate` end low-priority sessions."""
         self.front.relieve_memory(under_pressure=under_pressure, migrate=migrate)
 
     def apply_config(self, new: Config) -> None:
-        """Apply a configuration that has passed every check."""
+        """Apply a validated configuration."""
         if new.nats is not None:
             self.front.reconfigure(new.deadlines, new.nats.tenants)
 
     def gauges(self) -> Mapping[str, Callable[[], int]]:
-        """Return the figures that are read when they are asked for."""
+        """Return the metrics whose value is read on request."""
         return {"active": lambda: sum(bool(session.request_class) for session in self.front.sessions)}
--- a/violetdoor/fronts/nats/session.py
+++ b/violetdoor/fronts/nats/session.py
@@ -1,7 +1,8 @@
-"""One NATS client from its INFO to its end, over however many servers that takes.
+"""The session of one NATS client from its INFO to its end, on one server after another.
 
-The session is one request to the core at a time: it is placed on one server, and when that server breaks, is
-unresponsive, or is to be left, the connection is closed before the core is asked for another.
+The session is one request to the core at a time: it is placed on one server, and when that server
+disconnects, is unresponsive, or the client migrates, the connection is closed before the core is asked for
+another server.
 """
 
 from __future__ import annotations
@@ -37,31 +38,31 @@
 
 log = logging.getLogger("violetdoor.nats")
 
-DEADLINE_MARGIN_MS = 50.0  # before a deadline, in which a rejection counts as the deadline's
+DEADLINE_MARGIN_MS = 50.0  # a rejection this close to the deadline counts as a timeout
 
 
 class Session:
-    """The life of one NATS client."""
+    """Serves one NATS client."""
 
     __slots__ = ("_loop", "binding", "client", "client_id", "core", "end_requested", "front")
 
     def __init__(self, front: Front, sock: socket.socket, client_id: int) -> None:
-        """Start before the client's INFO."""
+        """Start before INFO is sent to the client."""
         self.front = front
         self.core = front.core
         self.client_id = client_id
         self.client = NatsClient(front, sock)
         self.binding = ServerBinding(self.client, front.counts)
         self._loop = asyncio.get_running_loop()
-        self.end_requested: asyncio.Future[None] = self._loop.create_future()  # the program wants it to end
+        self.end_requested: asyncio.Future[None] = self._loop.create_future()  # by the relay
 
     @property
     def request_class(self) -> str:
-        """The client's class, empty until it has said who it is."""
+        """The client's request class, empty until it is identified."""
         return self.client.request_class
 
     async def run(self) -> None:
-        """Greet the client, place it, and place it anew for as long as it stays."""
+        """Send INFO, identify the client, and serve it on one server after another until its session ends."""
         client = self.client
         operations: asyncio.Task[None] | None = None
         end = END_WITHOUT_ERROR
@@ -70,8 +71,8 @@
             first = await client.read_first_frame()
             if first is None:
                 return
-            carrying_out = ClientOperations(self.front, client, self.binding).run(first)
-            operations = self._loop.create_task(carrying_out)
+            executing = ClientOperations(self.front, client, self.binding).run(first)
+            operations = self._loop.create_task(executing)
             end = await self._serve()
         except NatsClientError as err:
             end = SessionEnd(str(err))
@@ -103,30 +104,30 @@
                 if isinstance(placed, SessionEnd):
                     return placed
                 is_reconnect = True
-                end = await self._stay(handle, placed)
+                end = await self._serve_on_server(handle, placed)
                 if end is not None:
                     return end
             finally:
                 handle.close()
 
     async def _place(self, handle: RequestHandle) -> ServerConnection | SessionEnd:
-        """Ask the core where to go until a server is up; return that, or the final answer."""
+        """Carry out the core's attempts until a server is up; return its connection, or the final answer."""
         client = self.client
         has_timed_out = False
         while True:
-            decision = await client.unless_ended(handle.next_decision())
+            decision = await client.wait_unless_ended(handle.next_decision())
             match decision:
                 case None | ClientDisconnected():
                     handle.client_disconnected()
                     return client.ended.result()
                 case FailRequest() | Reject():
-                    return self._refuse(handle, decision, has_timed_out=has_timed_out)
+                    return self._final_answer(handle, decision, has_timed_out=has_timed_out)
                 case StartAttempt():
                     outcome = await attempt_server(self.front, client, decision)
             if isinstance(outcome, ServerConnection):
                 self._count_attempt(AttemptResult.OK)
                 self.front.counts["nats_placed"] += 1
-                self.front.figures.increment("ok", client.request_class)
+                self.front.metrics.increment("ok", client.request_class)
                 handle.connection_established()
                 return outcome
             if outcome is AttemptResult.CANCELLED:
@@ -140,21 +141,23 @@
     def _count_attempt(self, result: AttemptResult) -> None:
         self.front.counts[f"nats_attempt_{result.value}"] += 1
 
-    def _refuse(
+    def _final_answer(
         self, handle: RequestHandle, decision: FailRequest | Reject, *, has_timed_out: bool
     ) -> SessionEnd:
-        """Return the final answer to a client that can't be placed."""
+        """Return the final answer to a client that cannot be placed."""
         self.front.counts["nats_refused"] += 1
-        figure = "shed" if isinstance(decision, Reject) else "errors"
-        self.front.figures.increment(figure, self.client.request_class)
+        metric = "shed" if isinstance(decision, Reject) else "errors"
+        self.front.metrics.increment(metric, self.client.request_class)
         if not self.core.has_ready_server():
             return SessionEnd(NO_SERVERS)
         if has_timed_out or self.core.now() > handle.deadline_ms - DEADLINE_MARGIN_MS:
             return SessionEnd(PLACEMENT_TIMEOUT)
         return SessionEnd(NO_CAPACITY)
 
-    async def _stay(self, handle: RequestHandle, connection: ServerConnection) -> SessionEnd | None:
-        """Serve the client on this server; return how the session ends, None to go on elsewhere."""
+    async def _serve_on_server(
+        self, handle: RequestHandle, connection: ServerConnection
+    ) -> SessionEnd | None:
+        """Serve the client on this server; return how the session ends, None to place it again."""
         client, binding = self.client, self.binding
         binding.resume(connection)
         reader = ServerReader(self.front, client, binding, handle)
@@ -164,9 +167,9 @@
             ends = (receiving, watching, client.ended, handle.migration_requested, self.end_requested)
             await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
             if receiving.done() and (error := receiving.exception()):
-                raise error  # the client is too slow, or the fault is ours
+                raise error  # SlowReaderError, or an internal error
             binding.suspend()
-            result = await self._leave(handle, connection, receiving, watching)
+            result = await self._leave_server(handle, connection, receiving, watching)
             if result is None:
                 handle.attempt_ended(AttemptResult.CANCELLED, is_final=True)
                 return client.ended.result()
@@ -175,35 +178,35 @@
             handle.attempt_ended(AttemptResult.CANCELLED, is_final=True)
             return SLOW_CLIENT
         finally:
-            # The old connection is closed, and all it may still say dropped, before the core is asked again:
-            # guards against a message that comes twice, from a server thought dead and from the next one.
+            # The old connection is closed, without reading more from it, before the core is asked again. This
+            # prevents duplicate messages: from a server taken for dead and from the next one.
             binding.suspend()
             for task in (receiving, watching):
                 task.cancel()
             await asyncio.gather(receiving, watching, return_exceptions=True)
             await connection.close()
         handle.attempt_ended(result, is_final=True)
-        binding.settle(connection)
+        binding.resolve_unconfirmed(connection)
         return END_WITHOUT_ERROR if is_end_requested else None
 
-    async def _leave(
+    async def _leave_server(
         self,
         handle: RequestHandle,
         connection: ServerConnection,
         receiving: asyncio.Task[None],
         watching: asyncio.Task[None],
     ) -> AttemptResult | None:
-        """Leave a server, behind a fence unless it broke; return the result, None at the client's end."""
+        """Detach from a server, with a fence if it is alive; return the result, None if the client ended."""
         counts, ended = self.front.counts, self.client.ended
         if ended.done():
             return None
         if receiving.done():
             counts["nats_broken"] += 1
-            log.info("server %s disconnected", handle.server)
+            log.info("server %s disconnected; moving its client to another server", handle.server)
             return AttemptResult.RESET
         if watching.done():
             counts["nats_silent"] += 1
-            log.info("server %s unresponsive", handle.server)
+            log.info("server %s is unresponsive; moving its client to another server", handle.server)
             return AttemptResult.RESET
         fence = self.binding.end_subscriptions(connection)
         timeout = self.front.options.silence_timeout
