--- a/violetdoor/simhost/__init__.py
+++ b/violetdoor/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's adapter: the decision module on the simulator's wire, `python -m violetdoor.simhost`."""
+"""The simulator adapter: runs the decision module on the simulator's wire, `python -m violetdoor.simhost`."""
--- a/violetdoor/simhost/__main__.py
+++ b/violetdoor/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""Start the simulator's adapter on standard input and output."""
+"""Run the simulator adapter on standard input and output."""
 
 from violetdoor.simhost.host import main
 
--- a/violetdoor/simhost/errors.py
+++ b/violetdoor/simhost/errors.py
@@ -1,33 +1,35 @@
-"""Errors of the simulator's adapter: the ways in which the other side can break the protocol."""
+"""Errors of the simulator adapter: protocol violations of the simulator."""
 
 from __future__ import annotations
 
-SHOWN_CHARACTERS = 80  # of a message that is quoted
+SHOWN_CHARACTERS = 80  # of an invalid message that an error quotes
 
 
 class WireError(Exception):
-    """The other side broke the protocol; the text is one plain line."""
+    """The simulator violated the protocol; the text is one plain line."""
 
 
 class MalformedBatchError(WireError):
-    """A line is no batch."""
+    """A line is not a batch."""
 
     def __init__(self) -> None:
-        """Say what a batch is."""
-        super().__init__("a batch is an object with a number 'wall' and a list 'items'")
+        """Describe a valid batch."""
+        super().__init__("malformed batch: expected an object with a number 'wall' and a list 'items'")
 
 
 class MalformedMessageError(WireError):
-    """An item of a batch is no message."""
+    """An item of a batch is not a message."""
 
     def __init__(self, item: object) -> None:
         """Quote the beginning of the item."""
         shown = str(item)[:SHOWN_CHARACTERS]
-        super().__init__(f"a message is a list that starts with its name and its instance: {shown}")
+        super().__init__(
+            f"malformed message: expected a list that starts with name and instance number, found {shown}"
+        )
 
 
 class UnknownMessageError(WireError):
-    """A message has a name that this adapter does not know."""
+    """A message has an unknown name."""
 
     def __init__(self, name: str) -> None:
         """Quote the name."""
@@ -38,28 +40,28 @@
 class ShortMessageError(WireError):
     """A message has too few values."""
 
-    def __init__(self, name: str, count: int, wanted: int) -> None:
-        """Say how many values, the name apart, there are and how many are wanted."""
-        super().__init__(f"{name} has {count} values, {wanted} are wanted")
+    def __init__(self, name: str, count: int, expected: int) -> None:
+        """Give the actual and the minimum number of values, not counting the name."""
+        super().__init__(f"message {name} has {count} values, expected at least {expected}")
         self.name = name
         self.count = count
-        self.wanted = wanted
+        self.expected = expected
 
 
 class UnreadableMessageError(WireError):
-    """A value of a message has the wrong form."""
+    """A value of a message is invalid."""
 
     def __init__(self, name: str, cause: Exception) -> None:
-        """Say what went wrong when it was read."""
-        super().__init__(f"{name} does not read: {type(cause).__name__} {cause}")
+        """Quote the error that parsing the message raised."""
+        super().__init__(f"message {name} has an invalid value: {type(cause).__name__} {cause}")
         self.name = name
 
 
 class UnknownInstanceError(WireError):
-    """A message names an instance that has not started."""
+    """A message is for an instance that was not started."""
 
     def __init__(self, name: str, instance: int) -> None:
-        """Name the message and the instance."""
-        super().__init__(f"{name} names instance {instance}, which has not started")
+        """Quote the message's name and the instance."""
+        super().__init__(f"message {name} is for instance {instance}, which was not started")
         self.name = name
         self.instance = instance
--- a/violetdoor/simhost/host.py
+++ b/violetdoor/simhost/host.py
@@ -1,6 +1,6 @@
-"""The adapter's process: batches on standard input, answers on standard output, a balancer an instance.
+"""The adapter's process: reads batches from standard input, writes answers to standard output.
 
-It translates and decides nothing.
+It runs one balancer per instance; it only translates messages and decides nothing itself.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 )
 from violetdoor.simhost.wire import Message, read_event, write_action
 
-HEADER_LENGTH = 2  # name and instance
+HEADER_LENGTH = 2  # values: name and instance
 EXIT_OK = 0
 EXIT_PROTOCOL_ERROR = 2
 
 
 class Host:
-    """The instances of one process; none of them knows of another."""
+    """The instances of one process, which are independent of each other."""
 
     def __init__(self) -> None:
-        """Start without an instance."""
+        """Start without instances."""
         self.balancers: dict[int, Balancer] = {}
 
     def answer(self, line: str) -> str:
-        """Answer one batch; WireError where it breaks the protocol."""
+        """Return the answer to one batch; raise WireError if it violates the protocol."""
         try:
             batch = json.loads(line)
             now_ms = float(batch["wall"])
@@ -48,7 +48,7 @@
         return json.dumps({"steps": steps}, separators=(",", ":"))
 
     def _handle(self, now_ms: float, item: object) -> list[list[Any]]:
-        """Handle one message; a failure inside the decision module becomes the instance's fault message."""
+        """Handle one message; an exception in the decision module becomes an InternalError message."""
         if not isinstance(item, list) or len(item) < HEADER_LENGTH:
             raise MalformedMessageError(item)
         name, instance = item[:HEADER_LENGTH]
@@ -68,7 +68,7 @@
             return []
         try:
             actions = balancer.handle(now_ms, event)
-        except Exception as err:  # noqa: BLE001 - the protocol wants any failure here as a message
+        except Exception as err:  # noqa: BLE001 - the protocol reports any exception here as a message
             return [["InternalError", instance, f"{type(err).__name__}: {err}"]]
         return [write_action(instance, action) for action in actions]
 
@@ -81,23 +81,23 @@
         self.balancers[instance] = Balancer(settings, seed, now_ms)
 
 
-def serve(source: TextIO, sink: TextIO) -> None:
+def serve(input_stream: TextIO, output_stream: TextIO) -> None:
     """Answer batches until the input ends."""
     host = Host()
-    for line in source:
+    for line in input_stream:
         if line.strip():
-            sink.write(host.answer(line) + "\n")
-            sink.flush()
+            output_stream.write(host.answer(line) + "\n")
+            output_stream.flush()
 
 
 def main() -> int:
-    """Serve standard input; a protocol error is one plain line and a status of 2."""
+    """Serve standard input; on a protocol error print one line and return EXIT_PROTOCOL_ERROR."""
     try:
         serve(sys.stdin, sys.stdout)
     except WireError as err:
         print(f"violetdoor.simhost: {err}", file=sys.stderr)
         return EXIT_PROTOCOL_ERROR
     except UnicodeDecodeError:
-        print("violetdoor.simhost: the input is not UTF-8", file=sys.stderr)
+        print("violetdoor.simhost: standard input is not valid UTF-8", file=sys.stderr)
         return EXIT_PROTOCOL_ERROR
     return EXIT_OK
--- a/violetdoor/simhost/wire.py
+++ b/violetdoor/simhost/wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: its messages read into events, and actions written as its messages.
+"""The simulator's wire format: parses its messages into events, and encodes actions as messages.
 
 A message is a list: its name, the instance that it is for, then its values in a fixed order.
 """
@@ -59,9 +59,9 @@
     "withdrawn": AttemptResult.CANCELLED,
     "void": AttemptResult.NOT_SENT,
 }
-LOAD_MEASUREMENT = 1  # code of a measurement of a connection's load
-DELAY_MEASUREMENT = 2  # code of a measurement of a message's delay
-LOAD_UNITS_PER_HINT_UNIT = 1000.0  # hints are in ms of work a second, load measurements in microseconds
+LOAD_MEASUREMENT = 1  # code for the load of a connection
+DELAY_MEASUREMENT = 2  # code for a message delay
+LOAD_US_PER_MS = 1000.0  # the wire has us of work per second, the decision module ms
 
 
 def _entry(values: Message) -> ServerEntry:
@@ -121,7 +121,7 @@
 def _connection_measured(message: Message) -> Event | None:
     _, _, request_id, attempt, server, kind, value = message[:7]
     if kind == LOAD_MEASUREMENT:
-        load = value / LOAD_UNITS_PER_HINT_UNIT
+        load = value / LOAD_US_PER_MS
         return ConnectionMeasured(request_id, attempt, server, MeasurementKind.LOAD, load)
     if kind == DELAY_MEASUREMENT:
         return ConnectionMeasured(request_id, attempt, server, MeasurementKind.MESSAGE_DELAY, value)
@@ -148,9 +148,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Reader:
-    """How a message is read: its least number of values, name and instance included, and the function."""
+    """How a message is parsed: its minimum number of values, including name and instance, and the parser."""
 
-    width: int
+    min_values: int
     read: Callable[[Message], Event | None]
 
 
@@ -169,16 +169,16 @@
 
 
 def read_event(message: Message) -> Event | None:
-    """Read a message whose first value is its name; none for one that the decision module does not need.
+    """Parse a message whose first value is its name; None if the decision module does not need it.
 
-    UnknownMessageError, ShortMessageError or UnreadableMessageError where it breaks the protocol.
+    Raises UnknownMessageError, ShortMessageError or UnreadableMessageError if it violates the protocol.
     """
     name = message[0]
     reader = READERS.get(name)
     if reader is None:
         raise UnknownMessageError(name)
-    if len(message) < reader.width:
-        raise ShortMessageError(name, len(message) - 1, reader.width - 1)
+    if len(message) < reader.min_values:
+        raise ShortMessageError(name, len(message) - 1, reader.min_values - 1)
     try:
         return reader.read(message)
     except (KeyError, IndexError, TypeError, ValueError) as err:
@@ -225,5 +225,5 @@
 
 
 def write_action(instance: int, action: Action) -> list[Any]:
-    """Write an action of an instance as a message."""
+    """Encode an action of an instance as a message."""
     return WRITERS[type(action)](instance, action)
