--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what is around the relay: gate servers of both protocols and discovery; and its process."""
+"""Stand-ins for the relay's peers (gate servers of both protocols, discovery), and the relay process."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 def unshared_loopback_host() -> str:
     """Return a loopback address that no other test binds.
 
-    A fleet endpoint on port 0 takes its UDP port's number for TCP as well; on 127.0.0.1 another process may
-    have it.
+    A fleet endpoint on port 0 uses the number of its UDP port for TCP as well; on 127.0.0.1 another process
+    may already have that TCP port.
     """
     return f"127.{100 + os.getpid() % 50}.{secrets.randbelow(256)}.{1 + secrets.randbelow(254)}"
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Wait for a state of a stand-in: it changes by what arrives, so looking costs little."""
+    """Poll until a condition holds; TimeoutError after TIMEOUT_SECONDS."""
     async with asyncio.timeout(TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.002)
 
 
 class Standin:
-    """A listening stand-in on a port of its own."""
+    """A stand-in that listens on its own port."""
 
     def __init__(self) -> None:
         self.writers: list[Writer] = []
@@ -54,7 +54,7 @@
         self.abort_connections()
 
     def abort_connections(self) -> None:
-        """Break all connections."""
+        """Abort all connections."""
         for writer in self.writers:
             writer.transport.abort()
         self.writers.clear()
@@ -78,15 +78,15 @@
         self.first_answer, self.echo = first_answer, True
         self.opened: list[bytes] = []
         self.ended = 0
-        self.probes, self.pong_after = 0, 0.0
-        self.report = b""  # what STATS brings, as b" x0=0.5"
+        self.health_checks, self.pong_delay_seconds = 0, 0.0
+        self.load_report = b""  # appended to the answer to STATS, such as b" x0=0.5"
 
     async def serve(self, reader: Reader, writer: Writer) -> None:
         first = await reader.readline()
         if first in (b"PING\r\n", b"STATS\r\n"):
-            self.probes += 1
-            await asyncio.sleep(self.pong_after)
-            writer.write(b"PONG%b\r\n" % (self.report if first == b"STATS\r\n" else b""))
+            self.health_checks += 1
+            await asyncio.sleep(self.pong_delay_seconds)
+            writer.write(b"PONG%b\r\n" % (self.load_report if first == b"STATS\r\n" else b""))
             return
         self.opened.append(first)
         writer.write(self.first_answer)
@@ -94,20 +94,20 @@
             while line := await reader.readline():
                 if self.echo:
                     writer.write(b"re " + line)
-        finally:  # in order or by a reset: an attempt that is given up ends by one
+        finally:  # closed in order, or reset, which is how an abandoned attempt ends
             self.ended += 1
 
 
 class Discovery(Standin):
-    """Answers list calls; `tell` changes the list, and what waits hears of it."""
+    """Answers polls of the server list; `set_state` changes the list and completes waiting polls."""
 
     def __init__(self, *servers: Standin) -> None:
         super().__init__()
         self.servers, self.version, self.calls, self.broken = servers, 1, 0, False
-        self.behind = False  # it says at once that there is nothing new to one that knows more than itself
+        self.behind = False  # answer at once "no changes" to a poll with a newer version than its own
         self.states = {s.address: "up" for s in servers}
         self.changed = asyncio.Event()
-        self.asked: list[int | None] = []  # the version of each call, None for the whole list
+        self.requested_versions: list[int | None] = []  # the version in each poll, None for the whole list
 
     def entry(self, address: str) -> dict[str, Any]:
         return {"id": f"s-{address}", "addr": address, "zone": "a", "kind": "k", "cell": 0,
@@ -128,7 +128,7 @@
                 pass
             self.calls += 1
             asked = re.search(rb"from=(\d+)&hold_ms=(\d+)", request)
-            self.asked.append(int(asked[1]) if asked else None)
+            self.requested_versions.append(int(asked[1]) if asked else None)
             if self.broken:
                 writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
                 continue
@@ -143,20 +143,21 @@
 
 
 class NatsServer(Standin):
-    """A NATS server; those given the same `peers` list pass messages on to each other's subscribers."""
+    """A NATS server; servers with the same `peers` list deliver to each other's subscribers."""
 
     def __init__(self, peers: list[NatsServer] | None = None) -> None:
         super().__init__()
         self.peers = [] if peers is None else peers
         self.peers.append(self)
-        self.subs: dict[Writer, dict[bytes, list[Any]]] = {}  # sid: subject, queue, most, delivered
+        self.subs: dict[Writer, dict[bytes, list[Any]]] = {}  # by sid: subject, queue, maximum, delivered
         self.published: list[bytes] = []
         self.connects: list[dict[str, Any]] = []
-        self.silent = self.mute = False  # takes all and does nothing; does all but confirms nothing
+        # Unresponsive: reads everything and does nothing. Withholding PONGs: does all else, but confirms nothing.
+        self.is_unresponsive = self.withholds_pongs = False
         self.refusal = b""
 
     async def serve(self, reader: Reader, writer: Writer) -> None:
-        if not self.silent:
+        if not self.is_unresponsive:
             writer.write(b'INFO {"server_id":"S","headers":true,"max_payload":1048576}\r\n')
         mine = self.subs.setdefault(writer, {})
         try:
@@ -165,7 +166,7 @@
                 body = b""
                 if op in (b"PUB", b"HPUB"):
                     body = (await reader.readexactly(int(args[-1]) + 2))[:-2]
-                if not self.silent:
+                if not self.is_unresponsive:
                     self.operate(op, args, body, line, writer, mine)
         finally:
             del self.subs[writer]
@@ -175,7 +176,7 @@
         if op == b"CONNECT":
             self.connects.append(json.loads(line[8:]))
             writer.write(self.refusal)
-        elif op == b"PING" and not self.mute:
+        elif op == b"PING" and not self.withholds_pongs:
             writer.write(b"PONG\r\n")
         elif op == b"SUB":
             mine[args[-1]] = [args[0], args[1] if len(args) == 3 else b"", 0, 0]
@@ -191,12 +192,12 @@
             self.publish(args[0], body, head, reply)
 
     def publish(self, subject: bytes, body: bytes, head: int = 0, reply: bytes = b"") -> None:
-        """Deliver to all that subscribe, at any peer that speaks; once to each queue group."""
+        """Deliver to all subscribers at responsive peers, once to each queue group."""
         done: set[bytes] = set()
         for peer in self.peers:
             for writer, subs in peer.subs.items():
                 for sid, sub in list(subs.items()):
-                    if peer.silent or not matches(sub[0], subject) or sub[1] in done:
+                    if peer.is_unresponsive or not matches(sub[0], subject) or sub[1] in done:
                         continue
                     done |= {sub[1]} - {b""}
                     sub[3] += 1
@@ -207,7 +208,7 @@
                     writer.write(b" ".join(words) + b"\r\n" + body + b"\r\n")
 
     def send_to_all(self, line: bytes) -> None:
-        """Say something on all connections."""
+        """Write a line on all connections."""
         for writer in self.writers:
             writer.write(line)
 
@@ -217,12 +218,12 @@
 
 
 class Relay:
-    """The program as a process."""
+    """The relay as a process."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process, self.address, self.lines = process, ("127.0.0.1", 0), list[str]()
         self.console = ("127.0.0.1", 0)
-        self.killed = False  # by the test
+        self.killed = False  # set by a test that killed the process
         self.reading = asyncio.create_task(self._read())
 
     async def _read(self) -> None:
@@ -238,7 +239,7 @@
         return sum(text in line for line in self.lines)
 
     async def counters(self) -> dict[str, int]:
-        """Ask for the counters."""
+        """Request the counters by SIGUSR1 and read them from the log."""
         before = self.logged("counters:")
         self.process.send_signal(signal.SIGUSR1)
         await wait_until(lambda: self.logged("counters:") > before)
@@ -246,7 +247,7 @@
         return {k: int(v) for k, v in re.findall(r"(\w+)=(\d+)", last)}
 
     async def stop(self) -> int:
-        """End it as the platform does; its exit status."""
+        """Stop the process with SIGTERM, as the platform does; return its exit status."""
         with contextlib.suppress(ProcessLookupError):
             self.process.terminate()
         async with asyncio.timeout(TIMEOUT_SECONDS):
@@ -255,7 +256,7 @@
         return status
 
     async def call(self, call: str) -> tuple[int, str]:
-        """Call the console; the answer's status and text."""
+        """Call the console; return the answer's status and text."""
         await wait_until(lambda: self.console[1])
         reader, writer = await asyncio.open_connection(*self.console)
         writer.write(f"{call} HTTP/1.1\r\nHost: relay\r\n\r\n".encode())
@@ -266,16 +267,16 @@
         return int(head.split()[1]), text
 
     async def wait_for_health(self, is_healthy: bool = True) -> None:
-        """Wait until the console says that this process takes clients, or that it takes none.
+        """Wait until the console's health check reports that this process accepts clients, or that it does not.
 
-        Guards against asking once: which of an upgrade's two processes says yes changes by their talk.
+        One call is not enough: during an upgrade the two processes agree by messages on which one accepts.
         """
         async with asyncio.timeout(TIMEOUT_SECONDS):
             while (await self.call("GET /healthcheck"))[0] != (200 if is_healthy else 503):
                 await asyncio.sleep(0.01)
 
     async def read_metrics(self) -> dict[str, int]:
-        """What the console's figures say."""
+        """Return the console's metrics."""
         status, text = await self.call("GET /stats")
         assert status == 200
         return {name: int(value) for name, value in re.findall(r"^svc\.([\w.-]+):(\d+)\|[cg]$", text, re.M)}
@@ -286,7 +287,7 @@
 
 @contextlib.asynccontextmanager
 async def relay(*args: str, **env: str) -> AsyncIterator[Relay]:
-    """Start the program, wait until it listens, see that it ended well and without a fault."""
+    """Run the program from when it listens; check its exit status and that it logged no traceback."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "violetdoor", *args, cwd=ROOT, env=os.environ | env,
         stderr=asyncio.subprocess.PIPE,
@@ -302,7 +303,7 @@
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run one test's coroutine; nothing may hang."""
+    """Run one test's coroutine with a time limit."""
 
     async def bounded() -> None:
         async with asyncio.timeout(4 * TIMEOUT_SECONDS):
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""A request whose client disconnected while it waited is not forwarded, however the client went."""
+"""A request whose client disconnected while it waited is not forwarded, after a close or a reset."""
 
 from __future__ import annotations
 
@@ -33,51 +33,51 @@
 from violetdoor.net.counters import Counters
 from violetdoor.net.line_socket import LineSocket
 
-LINES = {
+LATER_LINES = {
     "one line": b"",
     "lines behind it": b"M 1\r\nM 2\r\n",
     "half a line behind it": b"M 1\r\nM 2",
-    "a full buffer": b"M 0123456789abc\r\n" * 400,  # more than the 4 KiB that are read of it
+    "a full buffer": b"M 0123456789abc\r\n" * 400,  # more than the 4 KiB that the relay reads ahead
 }
-LONG = b"c=checkin,t=acme,d=9000"
-PATIENT = SETTINGS["policyLimits"] | {"connectTimeout": 8000.0}
+LONG_TIME_LEFT = b"c=checkin,t=acme,d=9000"
+SLOW_CONNECT_LIMITS = SETTINGS["policyLimits"] | {"connectTimeout": 8000.0}
 
 
 class HoldingServer(GateServer):
-    """Takes a first line and answers when the test says so."""
+    """Reads the first line and answers once `answering` is set."""
 
     def __init__(self, answer: bytes) -> None:
         super().__init__(answer)
         self.answering = asyncio.Event()
 
     async def serve(self, reader: Reader, writer: Writer) -> None:
-        if said := await reader.readline():  # a connection without a byte is no attempt
-            self.opened.append(said)
+        if received := await reader.readline():  # a connection without data is not an attempt
+            self.opened.append(received)
         await self.answering.wait()
         writer.write(self.first_answer)
         await reader.read(-1)
 
 
 class LateServer(Standin):
-    """A server whose connections come up when the test says so: until then its queue is full."""
+    """A server whose accept queue is full until `come_up`, so that connections to it stay pending."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.said: list[bytes] = []
+        self.received: list[bytes] = []
 
     async def __aenter__(self) -> LateServer:
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=0)
         self.sock.setblocking(False)
         self.address = "{}:{}".format(*self.sock.getsockname())
-        self.filling = socket.create_connection(self.sock.getsockname())  # takes the queue's one place
+        self.queue_filler = socket.create_connection(self.sock.getsockname())  # fills the accept queue of one
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.filling.close()
+        self.queue_filler.close()
         self.sock.close()
 
     async def come_up(self, seconds: float) -> None:
-        """Take all that comes in this time, which is longer than the system's second try, and what it says."""
+        """Accept connections for this time, longer than the kernel's second SYN, and record their first data."""
         loop = asyncio.get_running_loop()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
@@ -85,12 +85,12 @@
                     sock, _ = await loop.sock_accept(self.sock)
                     with contextlib.suppress(ConnectionError, TimeoutError):
                         async with asyncio.timeout(0.2):
-                            self.said.append(await loop.sock_recv(sock, 100))
+                            self.received.append(await loop.sock_recv(sock, 100))
                     sock.close()
 
 
 def disconnect(writer: Writer, how: str) -> None:
-    """End a client's connection: in order, or by a reset."""
+    """Close a client's connection in order, or reset it."""
     if how == "reset":
         linger = struct.pack("ii", 1, 0)
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -100,7 +100,7 @@
 
 
 async def wait_for_early_disconnects(it: Relay, count: int = 1, within: float = 1) -> None:
-    """So many clients are seen to have left: 0.3 s are allowed, and a server's answer is not waited for."""
+    """Wait until this many disconnects are counted; 0.3 s are allowed, without waiting for a server."""
     async with asyncio.timeout(within):
         while await read_counter(it, "left_early") < count:
             await asyncio.sleep(0.01)
@@ -110,7 +110,7 @@
 async def relay_around(
     tmp_path: Path, *servers: Standin, empty: bool = False, **settings: Any
 ) -> AsyncIterator[tuple[Relay, Discovery]]:
-    """A relay with these servers; they are listed from the start, or none is."""
+    """Run a relay with these servers; with `empty`, none is listed at the start."""
     async with contextlib.AsyncExitStack() as stack:
         for server in servers:
             await stack.enter_async_context(server)
@@ -123,18 +123,18 @@
         )
 
 
-WAYS = list(itertools.product(("end", "reset"), LINES))
+DISCONNECT_CASES = list(itertools.product(("end", "reset"), LATER_LINES))
 
 
-@pytest.mark.parametrize(("how", "lines"), WAYS)
+@pytest.mark.parametrize(("how", "lines"), DISCONNECT_CASES)
 def test_disconnect_while_the_server_is_silent_cancels_the_attempt_and_starts_no_other(
     tmp_path: Path, how: str, lines: str
 ) -> None:
     async def test() -> None:
         one, two = HoldingServer(b"BUSY\r\n"), HoldingServer(b"BUSY\r\n")
         async with relay_around(tmp_path, one, two) as (it, _):
-            _, writer = await open_client(it, LONG)
-            writer.write(LINES[lines])
+            _, writer = await open_client(it, LONG_TIME_LEFT)
+            writer.write(LATER_LINES[lines])
             await wait_until(lambda: one.opened or two.opened)
             disconnect(writer, how)
             await wait_for_early_disconnects(it)
@@ -146,17 +146,17 @@
     run(test)
 
 
-@pytest.mark.parametrize(("how", "lines"), WAYS)
+@pytest.mark.parametrize(("how", "lines"), DISCONNECT_CASES)
 def test_disconnect_between_two_attempts_sends_no_byte_to_the_next_server(
     tmp_path: Path, how: str, lines: str
 ) -> None:
-    """The client leaves first, then the server turns the request away: both are there when the relay looks."""
+    """Guards against a retry for a gone client: its disconnect and the server's BUSY arrive together."""
 
     async def test() -> None:
         one, two = HoldingServer(b"BUSY\r\n"), HoldingServer(b"BUSY\r\n")
         async with relay_around(tmp_path, one, two) as (it, _):
-            _, writer = await open_client(it, LONG)
-            writer.write(LINES[lines])
+            _, writer = await open_client(it, LONG_TIME_LEFT)
+            writer.write(LATER_LINES[lines])
             await wait_until(lambda: one.opened or two.opened)
             first, second = (one, two) if one.opened else (two, one)
             await writer.drain()
@@ -170,33 +170,33 @@
     run(test)
 
 
-@pytest.mark.parametrize(("how", "lines"), WAYS)
+@pytest.mark.parametrize(("how", "lines"), DISCONNECT_CASES)
 def test_disconnect_while_queued_abandons_the_request(tmp_path: Path, how: str, lines: str) -> None:
     async def test() -> None:
         server = GateServer()
         async with relay_around(tmp_path, server, empty=True) as (it, discovery):
-            _, writer = await open_client(it, LONG)
-            writer.write(LINES[lines])
+            _, writer = await open_client(it, LONG_TIME_LEFT)
+            writer.write(LATER_LINES[lines])
             await wait_until(lambda: discovery.calls)
             disconnect(writer, how)
             await wait_for_early_disconnects(it)
             discovery.set_state(server, "up")
-            reader, _ = await open_client(it, LONG)
+            reader, _ = await open_client(it, LONG_TIME_LEFT)
             assert await read_line(reader) == b"UP r1\r\n"
-            assert len(server.opened) == 1  # the later client's alone
+            assert len(server.opened) == 1  # only the later client's
 
     run(test)
 
 
-@pytest.mark.parametrize(("how", "lines"), WAYS)
+@pytest.mark.parametrize(("how", "lines"), DISCONNECT_CASES)
 def test_disconnect_before_a_late_connection_is_up_sends_no_byte(
     tmp_path: Path, how: str, lines: str
 ) -> None:
     async def test() -> None:
         late = LateServer()
-        async with relay_around(tmp_path, late, policyLimits=PATIENT) as (it, _):
-            _, writer = await open_client(it, LONG)
-            writer.write(LINES[lines])
+        async with relay_around(tmp_path, late, policyLimits=SLOW_CONNECT_LIMITS) as (it, _):
+            _, writer = await open_client(it, LONG_TIME_LEFT)
+            writer.write(LATER_LINES[lines])
             await wait_until(lambda: late.sock)
             async with asyncio.timeout(5):
                 while not await read_counter(it, "opens"):
@@ -204,7 +204,7 @@
             disconnect(writer, how)
             await wait_for_early_disconnects(it)
             await late.come_up(1.5)
-            assert not any(late.said)
+            assert not any(late.received)
 
     run(test)
 
@@ -213,14 +213,14 @@
     async def test() -> None:
         one, two = HoldingServer(b"BUSY\r\n"), HoldingServer(b"BUSY\r\n")
         async with relay_around(tmp_path, one, two) as (it, _):
-            clients = [await open_client(it, LONG) for _ in range(60)]
+            clients = [await open_client(it, LONG_TIME_LEFT) for _ in range(60)]
             await wait_until(lambda: len(one.opened) + len(two.opened) == 60)
-            for (_, writer), (how, lines) in zip(clients, itertools.cycle(WAYS), strict=False):
-                writer.write(LINES[lines])
+            for (_, writer), (how, lines) in zip(clients, itertools.cycle(DISCONNECT_CASES), strict=False):
+                writer.write(LATER_LINES[lines])
                 await writer.drain()
                 disconnect(writer, how)
             await asyncio.sleep(0)
-            one.answering.set()  # each of these would be tried once more
+            one.answering.set()  # each request would be retried
             two.answering.set()
             await wait_for_early_disconnects(it, 60, within=2)
             assert len(one.opened) + len(two.opened) == 60
@@ -229,12 +229,12 @@
 
 
 def test_lines_that_came_with_the_first_one_are_forwarded_as_soon_as_the_server_is_up(tmp_path: Path) -> None:
-    """Looking for the client's end loses no byte and holds none back, whatever is full."""
+    """Guards against lost or delayed lines while the relay checks for a disconnect with full buffers."""
 
     async def test() -> None:
         server = HoldingServer(b"UP r1\r\n")
         async with relay_around(tmp_path, server) as (it, _):
-            for sent in LINES.values():
+            for sent in LATER_LINES.values():
                 server.answering.clear()
                 got = asyncio.get_running_loop().create_future()
 
@@ -246,7 +246,7 @@
 
                 server.serve = serve  # type: ignore[method-assign]
                 before = len(server.opened)
-                reader, writer = await open_client(it, LONG)
+                reader, writer = await open_client(it, LONG_TIME_LEFT)
                 writer.write(sent)
                 await wait_until(lambda before=before: len(server.opened) > before)  # type: ignore[misc]
                 server.answering.set()
@@ -259,7 +259,7 @@
     run(test)
 
 
-# The order of events inside one process, where no peer can force it.
+# Orders of events that no peer can force, so they are produced inside the test's process.
 
 
 def test_undelivered_decision_is_dropped_when_the_client_disconnects() -> None:
@@ -268,7 +268,7 @@
         seen: list[Event] = []
         handle = core.balancer.handle
         core.balancer.handle = lambda now, event: (seen.append(event), handle(now, event))[1]  # type: ignore
-        request = open_request(core)  # a Send stands already, and its owner has not run since
+        request = open_request(core)  # a decision is ready, but its session has not run yet
         request.client_disconnected()
         assert isinstance(await request.next_decision(), ClientDisconnected)
         request.attempt_ended(AttemptResult.CANCELLED)
@@ -288,15 +288,15 @@
         core.balancer.handle = lambda now, event: (seen.append(event), handle(now, event))[1]  # type: ignore
         ours, _theirs = socket.socketpair()
         ours.setblocking(False)
-        around = SimpleNamespace(core=core, counts=Counters(), gate=None)
+        front = SimpleNamespace(core=core, counts=Counters(), gate=None)
 
         class SuddenAttempts(ServerAttempts):
             async def run(self, *_: Any, **__: Any) -> AttemptResult:
                 self.client.disconnected.set_result(None)
                 return AttemptResult.OK
 
-        session = Session(around, LineSocket(ours))
-        session.attempts = SuddenAttempts(around, session.client)
+        session = Session(front, LineSocket(ours))
+        session.attempts = SuddenAttempts(front, session.client)
         opening: Any = SimpleNamespace(
             request_class="feed",
             time_left_ms=300.0,
@@ -310,8 +310,8 @@
         await session.request(opening, core.now())
         assert ConnectionEstablished not in [type(event) for event in seen]
         assert not core.established
-        assert around.counts["left_early"] == 1
-        assert not around.counts["answered_up"]
+        assert front.counts["left_early"] == 1
+        assert not front.counts["answered_up"]
 
     uvloop.run(test())
 
@@ -320,23 +320,23 @@
     async def test() -> None:
         ours, _theirs = socket.socketpair()
         ours.setblocking(False)
-        around = SimpleNamespace(core=make_controller(1), counts=Counters())
+        front = SimpleNamespace(core=make_controller(1), counts=Counters())
 
         class WatchedAttempts(ServerAttempts):
             async def attempt_server(self, *_: Any, **__: Any) -> AttemptResult:
-                raise AssertionError("it began")
+                raise AssertionError("an attempt started")
 
-        client = ClientConnection(around, LineSocket(ours))
+        client = ClientConnection(front, LineSocket(ours))
         client.disconnected.set_result(None)
-        attempts = WatchedAttempts(around, client)
-        opening: Any = None  # not even looked at
+        attempts = WatchedAttempts(front, client)
+        opening: Any = None  # never read
         assert await attempts.run(opening, StartAttempt(1, "s0", 0.0)) is AttemptResult.CANCELLED
 
     uvloop.run(test())
 
 
 def tcp_pair() -> tuple[socket.socket, socket.socket]:
-    """Two ends of one TCP connection."""
+    """Return both ends of one TCP connection."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         near = socket.create_connection(listener.getsockname())
         far = listener.accept()[0]
@@ -344,18 +344,18 @@
     return near, far
 
 
-@pytest.mark.parametrize("lines", LINES)
+@pytest.mark.parametrize("lines", LATER_LINES)
 @pytest.mark.parametrize("how", ["end", "reset", "half"])
 def test_disconnect_is_checked_right_before_the_first_byte(how: str, lines: str) -> None:
-    """Its server's connection comes up late, the client leaves in that moment, and nobody was awake between."""
+    """Guards against sending for a gone client: the disconnect and a late connection come in one step."""
 
     async def test() -> None:
         ours, client = tcp_pair()
         up, server = tcp_pair()
         core = make_controller(1)
-        around = SimpleNamespace(core=core, counts=Counters())
-        attempts = ServerAttempts(around, ClientConnection(around, LineSocket(ours)))
-        client.sendall(LINES[lines])
+        front = SimpleNamespace(core=core, counts=Counters())
+        attempts = ServerAttempts(front, ClientConnection(front, LineSocket(ours)))
+        client.sendall(LATER_LINES[lines])
         if how == "half":
             client.shutdown(socket.SHUT_WR)
         else:
@@ -363,7 +363,7 @@
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.close()
         attempt = StartAttempt(1, "s0", core.now() + 1000)
-        opening: Any = None  # not even looked at
+        opening: Any = None  # never read
         result = await attempts.exchange(opening, LineSocket(up), attempt, is_adoption=False)
         assert result is AttemptResult.CANCELLED
         server.setblocking(False)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""Closes and shutdowns in the moment in which something still arrives: each ends with the word that is owed."""
+"""Closes and shutdowns while data still arrives: every client gets the answer that it is due."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 import pytest
 import uvloop
 from standins import ROOT, TIMEOUT_SECONDS, Discovery, GateServer, Reader, Writer, run, wait_until
-from test_client_disconnect import PATIENT, HoldingServer, LateServer, disconnect, relay_around
+from test_client_disconnect import SLOW_CONNECT_LIMITS, HoldingServer, LateServer, disconnect, relay_around
 from test_line import SETTINGS, open_client, opening_line, read_counter, read_line, relay_with_servers
 
 from violetdoor.net.acceptor import Acceptor
 from violetdoor.net.counters import Counters
 from violetdoor.net.sockets import listen
 
-FULL = b"BUSY 300\r\n"
-LONG = b"c=checkin,t=acme,d=9000"
-SLOW: dict[str, Any] = {"classes": [SETTINGS["classes"][0] | {"hardLimit": 9000.0}]}
+OVERLOAD_ANSWER = b"BUSY 300\r\n"
+LONG_TIME_LEFT = b"c=checkin,t=acme,d=9000"
+LONG_DEADLINE: dict[str, Any] = {"classes": [SETTINGS["classes"][0] | {"hardLimit": 9000.0}]}
 
 
 async def read_to_end(reader: Reader) -> bytes:
-    """Everything up to an end in order; a reset is an error."""
+    """Return all data up to an orderly close; a reset raises."""
     async with asyncio.timeout(TIMEOUT_SECONDS):
         return await reader.read(-1)
 
@@ -41,7 +41,7 @@
 def test_idle_client_gets_a_last_word_at_shutdown_and_later_bytes_go_nowhere(
     tmp_path: Path, said: bytes
 ) -> None:
-    """Guards against a request that is written as the relay shuts down: unanswered, or sent on behind the shutdown."""
+    """Guards against a request sent during shutdown that gets no answer, or is still forwarded."""
 
     async def test() -> None:
         server = GateServer()
@@ -55,7 +55,7 @@
                 await asyncio.sleep(0.01)
             it.process.terminate()
             assert re.fullmatch(rb"(BUSY \d+|ERR)\r\n", await read_line(reader))
-            writer.write(opening_line(LONG))  # the relay has shut down by now
+            writer.write(opening_line(LONG_TIME_LEFT))  # the shutdown has answered this client already
             assert await read_to_end(reader) == b""
             assert await it.process.wait() == 0
             assert not server.opened
@@ -64,16 +64,16 @@
 
 
 def test_pending_request_is_answered_at_shutdown(tmp_path: Path) -> None:
-    """A kill comes 3.7 s after SIGTERM at the latest, whatever the longest deadline is."""
+    """Guards against waiting for a long deadline: SIGKILL may come 3.7 s after SIGTERM."""
 
     async def test() -> None:
         held = HoldingServer(b"UP r1\r\n")
-        async with relay_around(tmp_path, held, **SLOW) as (it, _):
-            sent, _ = await open_client(it, LONG)
+        async with relay_around(tmp_path, held, **LONG_DEADLINE) as (it, _):
+            sent, _ = await open_client(it, LONG_TIME_LEFT)
             await wait_until(lambda: held.opened)
             began = asyncio.get_running_loop().time()
             it.process.terminate()
-            assert await read_to_end(sent) == b"ERR\r\n"  # its server may have run it
+            assert await read_to_end(sent) == b"ERR\r\n"  # the server may have executed it
             assert await it.process.wait() == 0
             assert asyncio.get_running_loop().time() - began < 3.7
 
@@ -82,8 +82,8 @@
 
 def test_request_that_was_never_forwarded_may_be_retried_after_shutdown(tmp_path: Path) -> None:
     async def test() -> None:
-        async with relay_around(tmp_path, GateServer(), empty=True, **SLOW) as (it, discovery):
-            reader, _ = await open_client(it, LONG)
+        async with relay_around(tmp_path, GateServer(), empty=True, **LONG_DEADLINE) as (it, discovery):
+            reader, _ = await open_client(it, LONG_TIME_LEFT)
             await wait_until(lambda: discovery.calls)
             it.process.terminate()
             assert re.fullmatch(rb"BUSY \d+\r\n", await read_to_end(reader))
@@ -105,13 +105,13 @@
             it.process.send_signal(signal.SIGHUP)
             await wait_until(lambda: it.logged("reloaded"))
             assert await asyncio.gather(*(read_to_end(reader) for reader, _ in clients)) == [b"MOVE\r\n"] * 20
-            it.process.terminate()  # a second one changes nothing
+            it.process.terminate()  # a second SIGTERM changes nothing
 
     run(test)
 
 
 def test_stop_signal_during_startup_is_handled(tmp_path: Path) -> None:
-    """The start is held where it asks for a predecessor that never answers."""
+    """Guards against SIGTERM being ignored while the start waits for a predecessor that never answers."""
 
     async def test() -> None:
         asked = asyncio.Event()
@@ -150,7 +150,7 @@
 
 
 def test_abandoned_attempt_ends_by_a_reset(tmp_path: Path) -> None:
-    """Guards against a line that the system still holds and delivers when a silent server is back."""
+    """Guards against an OPEN line that the kernel delivers later, when an unresponsive server recovers."""
 
     async def test() -> None:
         ends: list[str] = []
@@ -166,10 +166,10 @@
 
         one = Silent()
         async with relay_around(tmp_path, one) as (it, _):
-            reader, _ = await open_client(it, b"c=checkin,t=acme,d=300")  # timed out
+            reader, _ = await open_client(it, b"c=checkin,t=acme,d=300")  # its attempt times out
             await read_to_end(reader)
             await wait_until(lambda: ends)
-            _, writer = await open_client(it, LONG)  # its client leaves
+            _, writer = await open_client(it, LONG_TIME_LEFT)  # its client disconnects
             await wait_until(lambda: len(one.opened) == 1 + len(ends))
             writer.close()
             await wait_until(lambda: len(ends) == len(one.opened))
@@ -211,9 +211,9 @@
 )  # fmt: skip
 def test_malformed_answer_counts_as_possibly_executed(tmp_path: Path, answer: bytes, outcome: str) -> None:
     async def test() -> None:
-        limits = PATIENT | {"sendCap": 1}
+        limits = SLOW_CONNECT_LIMITS | {"sendCap": 1}
         async with relay_around(tmp_path, GateServer(first_answer=answer), policyLimits=limits) as (it, _):
-            reader, _ = await open_client(it, LONG)
+            reader, _ = await open_client(it, LONG_TIME_LEFT)
             said = await read_line(reader)
             assert said == answer if outcome == "ok" else said.startswith(b"BUSY ")
             assert await read_counter(it, f"attempt_{outcome}") == 1
@@ -226,9 +226,10 @@
 def test_possibly_executed_request_is_retried_only_where_its_class_allows_it(
     tmp_path: Path, effect: str, answer: bytes
 ) -> None:
-    """The window for repeats is over at once: only a class that may be repeated at will has a second attempt.
+    """Guards against a second execution, and against holding a client whose request may not be retried.
 
-    One that may not has its answer then: it is not held until its time is over.
+    The deduplication window is over at once, so only an idempotent class, or BUSY, allows a second attempt.
+    Every other client is answered without waiting for its deadline.
     """
 
     async def test() -> None:
@@ -241,10 +242,13 @@
 
         one, two = Ending(answer), Ending(answer)
         cls = SETTINGS["classes"][0] | {"effect": effect, "dedupScope": "all", "window": 100.0}
-        async with relay_around(tmp_path, one, two, classes=[cls], policyLimits=PATIENT) as (it, _):
-            never = answer == b"BUSY\r\n"  # the only word that nothing ran
+        async with relay_around(tmp_path, one, two, classes=[cls], policyLimits=SLOW_CONNECT_LIMITS) as (
+            it,
+            _,
+        ):
+            never = answer == b"BUSY\r\n"  # the only proof that nothing was executed
             again = never or effect == "idempotent"
-            reader, _ = await open_client(it, b"c=checkin,t=acme,d=2500" if again else LONG)
+            reader, _ = await open_client(it, b"c=checkin,t=acme,d=2500" if again else LONG_TIME_LEFT)
             async with asyncio.timeout(5):
                 said = await read_line(reader)
             assert len(one.opened) + len(two.opened) == (2 if again else 1)
@@ -255,27 +259,31 @@
 
 
 def test_retry_whose_connection_misses_its_window_sends_nothing(tmp_path: Path) -> None:
-    """Its first server may have run it; the other one drops a repeat for 2 s, and its connection is up after 3."""
+    """Guards against a retry after the deduplication window.
+
+    The first server may have executed the request; the other one drops duplicates for 2 s, and its connection
+    is up after 3 s.
+    """
 
     async def test() -> None:
         first, late = HoldingServer(b"ERR\r\n"), LateServer()
-        cls = SLOW["classes"][0] | {"effect": "deduplicated", "dedupScope": "all", "window": 2000.0}
+        cls = LONG_DEADLINE["classes"][0] | {"effect": "deduplicated", "dedupScope": "all", "window": 2000.0}
         async with (
             late,
-            relay_around(tmp_path, first, classes=[cls], policyLimits=PATIENT) as (it, discovery),
+            relay_around(tmp_path, first, classes=[cls], policyLimits=SLOW_CONNECT_LIMITS) as (it, discovery),
         ):
-            reader, _ = await open_client(it, LONG)
+            reader, _ = await open_client(it, LONG_TIME_LEFT)
             await wait_until(lambda: first.opened)
             discovery.set_state(first, "draining")
             discovery.set_state(late, "up")
-            while await read_counter(it, "discovery_changes") < 2:  # both at once
+            while await read_counter(it, "discovery_changes") < 2:  # both changes in one poll
                 await asyncio.sleep(0.01)
             first.answering.set()
             while not await read_counter(it, "attempt_error"):
                 await asyncio.sleep(0.01)
             await asyncio.sleep(2)  # the window is over
             await late.come_up(4)
-            assert not any(late.said)
+            assert not any(late.received)
             assert await read_counter(it, "begun_too_late") == 1
             assert re.fullmatch(rb"BUSY \d+\r\n", await read_to_end(reader))
 
@@ -328,7 +336,7 @@
     run(test)
 
 
-# Closes of a front, in one process: the bytes are there, unread, when the close comes.
+# Closes of an acceptor inside the test's process, with bytes still unread.
 
 
 async def connect_client(acceptor: Acceptor, said: bytes) -> tuple[Reader, Writer]:
@@ -339,7 +347,7 @@
 
 
 def open_acceptor(serve: Any, sockets: int = 1024) -> Acceptor:
-    return Acceptor(listen(("127.0.0.1", 0), reuse_port=True), serve, Counters(), sockets, FULL)
+    return Acceptor(listen(("127.0.0.1", 0), reuse_port=True), serve, Counters(), sockets, OVERLOAD_ANSWER)
 
 
 def test_queued_client_is_answered_when_the_listening_socket_closes() -> None:
@@ -348,9 +356,9 @@
             assert sock is None, "nobody is served"
 
         acceptor = open_acceptor(serve)
-        reader, _ = await connect_client(acceptor, opening_line(LONG))
+        reader, _ = await connect_client(acceptor, opening_line(LONG_TIME_LEFT))
         await acceptor.close()
-        assert await read_to_end(reader) == FULL
+        assert await read_to_end(reader) == OVERLOAD_ANSWER
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(*acceptor.address)
 
@@ -377,7 +385,7 @@
 
 @pytest.mark.parametrize("way", ["close", "evict"])
 def test_close_over_unread_bytes_is_not_a_reset(way: str) -> None:
-    """More than a buffer's worth stands unread; the client still reads its last line and an end in order."""
+    """Guards against losing the answer to a reset: more unread bytes than a buffer holds precede the close."""
 
     async def test() -> None:
         began = asyncio.Event()
@@ -388,7 +396,7 @@
                 await asyncio.sleep(TIMEOUT_SECONDS)
             except asyncio.CancelledError:
                 if acceptor.is_closing:
-                    sock.send(FULL)
+                    sock.send(OVERLOAD_ANSWER)
                 raise
             return False
 
@@ -400,10 +408,10 @@
             other = asyncio.current_task()
             assert other is not None
             assert acceptor.evict_longest_waiting(except_for=other)
-            assert await read_to_end(reader) == FULL
+            assert await read_to_end(reader) == OVERLOAD_ANSWER
         closing = asyncio.get_running_loop().create_task(acceptor.close())
         if way == "close":
-            assert await read_to_end(reader) == FULL
+            assert await read_to_end(reader) == OVERLOAD_ANSWER
         await closing
         await asyncio.gather(running, return_exceptions=True)
 
@@ -440,7 +448,7 @@
     async def test() -> None:
         limits = SETTINGS["policyLimits"] | {"maxRetryAfter": most}
         async with relay_with_servers(tmp_path, GateServer(), policyLimits=limits) as (it, _):
-            reader, _ = await it.open()  # and says nothing: its line may be on the way
+            reader, _ = await it.open()  # sends nothing: for the relay its line may be on the way
             assert await read_line(reader) == told
 
     run(test)
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -1,4 +1,4 @@
-"""Peers that say too much: none costs another connection anything, and nothing of it is kept."""
+"""Peers that flood the relay: other connections are not affected, and all resources are released."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 import pytest
 from standins import GateServer, Reader, Writer, run, wait_until
-from test_client_disconnect import PATIENT, disconnect, relay_around
-from test_endings import LONG, read_to_end
+from test_client_disconnect import SLOW_CONNECT_LIMITS, disconnect, relay_around
+from test_endings import LONG_TIME_LEFT, read_to_end
 from test_line import SETTINGS, open_client, opening_line, read_counter, read_line
 
 
@@ -19,24 +19,24 @@
 @pytest.mark.parametrize("flood", [b"x" * 200_000, b"PING\r\n" * 20_000, b"M 1\r\n" * 20_000])
 def test_clients_that_flood_and_leave_release_everything(tmp_path: Path, how: str, flood: bytes) -> None:
     async def test() -> None:
-        async with relay_around(tmp_path, GateServer(), policyLimits=PATIENT) as (it, _):
-            reader, writer = await open_client(it, LONG)
+        async with relay_around(tmp_path, GateServer(), policyLimits=SLOW_CONNECT_LIMITS) as (it, _):
+            reader, writer = await open_client(it, LONG_TIME_LEFT)
             assert await read_line(reader) == b"UP r1\r\n"
 
             def held() -> int:
                 return len(os.listdir(f"/proc/{it.process.pid}/fd"))
 
-            before = held() + 2  # a call to discovery and one to the console may be there or not
+            before = held() + 2  # a poll of discovery and a console call may be open or not
             for _ in range(30):
                 _, loud = await it.open()
-                loud.write(opening_line(LONG) * flood.startswith(b"M") + flood)
+                loud.write(opening_line(LONG_TIME_LEFT) * flood.startswith(b"M") + flood)
                 await asyncio.sleep(0)
                 disconnect(loud, how)
-            writer.write(b"M 1\r\n")  # the one that stood goes on meanwhile
+            writer.write(b"M 1\r\n")  # the established client is still served
             assert await read_line(reader) == b"re M 1\r\n"
             while await read_counter(it, "accepted") < 31 or held() > before:
                 await asyncio.sleep(0.02)
-            other, _ = await open_client(it, LONG)
+            other, _ = await open_client(it, LONG_TIME_LEFT)
             assert await read_line(other) == b"UP r1\r\n"
             assert not await read_counter(it, "faults")
 
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize(("first", "result"), [(b"ERR\r\n", "error"), (b"BUSY\r\n", "full")])
 def test_second_answer_of_a_server_is_ignored(tmp_path: Path, first: bytes, result: str) -> None:
-    """The first one is read and counted before the second one is said."""
+    """Guards against taking a later UP for the answer; it is sent after the first answer was counted."""
 
     async def test() -> None:
         said = asyncio.Event()
@@ -60,9 +60,9 @@
                     await writer.drain()
 
         one = Twice()
-        limits = PATIENT | {"sendCap": 1}
+        limits = SLOW_CONNECT_LIMITS | {"sendCap": 1}
         async with relay_around(tmp_path, one, policyLimits=limits) as (it, _):
-            reader, _ = await open_client(it, LONG)
+            reader, _ = await open_client(it, LONG_TIME_LEFT)
             while not await read_counter(it, f"attempt_{result}"):
                 await asyncio.sleep(0.01)
             said.set()
@@ -88,16 +88,16 @@
                         await writer.drain()
 
         server = Loud()
-        async with relay_around(tmp_path, server, policyLimits=PATIENT) as (it, _):
-            _, deaf = await open_client(it, LONG)
+        async with relay_around(tmp_path, server, policyLimits=SLOW_CONNECT_LIMITS) as (it, _):
+            _, deaf = await open_client(it, LONG_TIME_LEFT)
             deaf.transport.pause_reading()  # type: ignore[attr-defined]
             await wait_until(lambda: server.opened)
-            reader, writer = await open_client(it, LONG)
+            reader, writer = await open_client(it, LONG_TIME_LEFT)
             assert await read_line(reader) == b"UP r1\r\n"
             for n in range(20):
                 writer.write(b"M %d\r\n" % n)
                 assert await read_line(reader) == b"re M %d\r\n" % n
-            it.process.terminate()  # the lock on the deaf one's lines is held: its MOVE is not waited for
+            it.process.terminate()  # the stalled client's write lock is held: no wait for its MOVE
             began = asyncio.get_running_loop().time()
             assert await read_to_end(reader) == b"MOVE\r\n"
             assert await it.process.wait() == 0
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -1,4 +1,4 @@
-"""The line front: a real process between clients, stand-in gate servers and stand-in discovery."""
+"""The line front as a process between clients, stand-in gate servers and stand-in discovery."""
 
 from __future__ import annotations
 
@@ -52,12 +52,12 @@
 
 
 async def read_counter(it: Relay, name: str) -> int:
-    """A counter of the running program."""
+    """Return a counter of the running program, 0 if it is not logged."""
     return (await it.counters()).get(name, 0)
 
 
 def rewrite_discovery(tmp_path: Path, discovery: str) -> None:
-    """Replace the configuration by one that names another discovery."""
+    """Write another discovery address into the configuration file."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(json.loads(path.read_text()) | {"discovery": discovery}))
 
@@ -75,7 +75,7 @@
 
 
 def opening_line(values: bytes) -> bytes:
-    """An OPEN line with an id of its own."""
+    """Return an OPEN line with a unique id."""
     return b"OPEN %016x 7f3a9c21e0b4d655 %b\r\n" % (next(IDS), values)
 
 
@@ -91,7 +91,7 @@
 
 
 def test_opening_is_forwarded_with_less_time_and_all_else_unchanged(tmp_path: Path) -> None:
-    """Bytes that come together with UP are not lost."""
+    """Also guards against losing bytes that arrive together with UP."""
 
     async def test() -> None:
         server = GateServer(first_answer=b"UP r1\r\nhello\r\nLOAD 4100.5\r\n")
@@ -192,7 +192,7 @@
 
 
 async def answer(it: Relay) -> bytes:
-    """What a client that opens now gets first."""
+    """Return the first line that a new client gets."""
     reader, writer = await open_client(it)
     try:
         return await read_line(reader)
@@ -206,38 +206,40 @@
 def test_pushed_endpoint_list_is_watched_from_the_start_and_over_every_failure_of_its_agent(
     tmp_path: Path,
 ) -> None:
-    """Guards against serving from the list of the own start: where lists are pushed the module never asks."""
+    """Guards against using the list of the start for ever: with pushed lists the module never polls."""
 
     async def test() -> None:
         one, two = GateServer(), GateServer()
         async with one, two, Discovery(one, two) as agent:
             agent.version = 41
             async with start_relay(tmp_path, agent, settings=PUSHED) as it:
-                await wait_until(lambda: agent.asked == [41])  # nobody has connected yet
+                await wait_until(lambda: agent.requested_versions == [41])  # before any client has connected
                 agent.set_state(one, "draining")
-                await wait_until(lambda: agent.asked == [41, 42])
+                await wait_until(lambda: agent.requested_versions == [41, 42])
                 for _ in range(5):
                     assert await answer(it) == b"UP r1\r\n"
                 assert len(two.opened) == 5
                 assert not one.opened
-                # It breaks, and comes back behind what it had told: the drain stays, what is new is heard.
-                agent.version, agent.asked, agent.behind = 7, [], True
+                # The agent fails and returns with an older version: the drain stays, new changes are applied.
+                agent.version, agent.requested_versions, agent.behind = 7, [], True
                 agent.states[one.address] = "up"
                 agent.abort_connections()
-                await wait_until(lambda: None in agent.asked and agent.asked[-1] == 7)
+                await wait_until(
+                    lambda: None in agent.requested_versions and agent.requested_versions[-1] == 7
+                )
                 for _ in range(5):
                     assert await answer(it) == b"UP r1\r\n"
                 assert len(two.opened) == 10
                 assert not one.opened
                 agent.set_state(two, "draining")
-                await wait_until(lambda: agent.asked[-1] == 8)
+                await wait_until(lambda: agent.requested_versions[-1] == 8)
                 assert (await answer(it)).startswith(b"BUSY ")
-                # It answers nothing but faults for a while, and is asked on without a word to the module.
+                # The agent answers only errors for a while: the watch goes on without involving the module.
                 agent.broken, calls, agent.version = True, agent.calls, 50
                 agent.set_state(one, "up")
                 await wait_until(lambda: agent.calls >= calls + 3)
                 agent.broken = False
-                await wait_until(lambda: agent.asked[-1] == 51)
+                await wait_until(lambda: agent.requested_versions[-1] == 51)
                 assert await answer(it) == b"UP r1\r\n"
 
     run(test)
@@ -250,18 +252,20 @@
 
 
 def test_health_checks_bring_the_load_that_servers_report(tmp_path: Path) -> None:
-    """Guards against probes by PING where the settings say that a probe brings a report: no load was known."""
+    """Guards against health checks by PING where the settings want a load report: no load would be known."""
 
     async def test() -> None:
         idle, full = GateServer(), GateServer()
-        idle.report, full.report = (b" waiting=0,active=3.5,cpu=0.2,x0=%b" % x for x in (b"0.21", b"0.9"))
+        idle.load_report, full.load_report = (
+            b" waiting=0,active=3.5,cpu=0.2,x0=%b" % x for x in (b"0.21", b"0.9")
+        )
         async with relay_with_servers(tmp_path, idle, full, **REPORTED) as (it, _):
             held = [await open_client(it, b"c=checkin,t=acme,d=1000") for _ in range(12)]
             assert [await read_line(reader) for reader, _ in held] == [b"UP r1\r\n"] * 12
             assert len(idle.opened) == 12
             assert not full.opened
-            assert idle.probes
-            assert full.probes
+            assert idle.health_checks
+            assert full.health_checks
 
     run(test)
 
@@ -272,7 +276,7 @@
         async with relay_with_servers(tmp_path, full, idle, **REPORTED) as (it, _):
             for _ in range(20):
                 assert await answer(it) == b"UP r1\r\n"
-            assert len(full.opened) <= 2  # those that were out together with the first
+            assert len(full.opened) <= 2  # attempts that started before the first answer
 
     run(test)
 
@@ -296,7 +300,7 @@
 def test_meaning_of_a_load_line_is_what_the_settings_say(
     tmp_path: Path, told: dict[str, bool], counted: int
 ) -> None:
-    """Guards against a small load that is taken for late messages where servers tell of no such thing."""
+    """Guards against taking a small load for a message delay where servers report no delays."""
 
     async def test() -> None:
         server = GateServer(first_answer=b"UP r1\r\nLOAD 90000\r\nLOAD 40\r\n")  # its load comes with UP
@@ -344,12 +348,12 @@
             config |= {"discovery": agent.address, "settings": config["settings"] | {"discovery": "pushed"}}
             (tmp_path / "config.json").write_text(json.dumps(config))
             it.process.send_signal(signal.SIGHUP)
-            await wait_until(lambda: agent.asked == [None, 1])
+            await wait_until(lambda: agent.requested_versions == [None, 1])
             agent.broken = True
             agent.set_state(one, "draining")
             await wait_until(lambda: agent.calls > 4)
             agent.broken = False
-            await wait_until(lambda: agent.asked[-1] == 2)
+            await wait_until(lambda: agent.requested_versions[-1] == 2)
             config["settings"]["discovery"] = "on_request"
             (tmp_path / "config.json").write_text(json.dumps(config))
             it.process.send_signal(signal.SIGHUP)
@@ -367,7 +371,7 @@
 
 
 def test_endpoint_list_of_version_0_is_watched_not_fetched(tmp_path: Path) -> None:
-    """Guards against taking version 0 for no version and asking for the whole list all the time."""
+    """Guards against taking version 0 for a missing version and fetching the whole list repeatedly."""
 
     async def test() -> None:
         server, discovery = GateServer(), Discovery()
@@ -385,11 +389,11 @@
 
 
 def test_client_of_an_unresponsive_server_is_migrated_between_two_lines(tmp_path: Path) -> None:
-    """Guards against a server that takes all and answers nothing: TCP sees no fault in it."""
+    """Guards against a server that reads everything and answers nothing: TCP reports no failure."""
 
     async def test() -> None:
         server = GateServer()
-        # Without notes of delays: these may move the client before the silence is found.
+        # No delay notes: they might migrate the client before the unresponsive server is detected.
         async with relay_with_servers(tmp_path, server, familyInfo={}) as (it, _):
             reader, writer = await open_client(it)
             assert await read_line(reader) == b"UP r1\r\n"
@@ -452,7 +456,7 @@
 def test_sigterm_answers_what_still_arrives_and_migrates_established_clients_late(
     tmp_path: Path, relays: int, came: bytes, least: float
 ) -> None:
-    """Guards against moving clients while they have nowhere to go: later where others just came."""
+    """Guards against migrating clients while no other relay is up: later if clients just reconnected here."""
 
     async def test() -> None:
         server = GateServer()
@@ -464,7 +468,7 @@
             await wait_until(lambda: it.logged("serving -> draining"))
             reader, _ = await open_client(it)
             assert (await read_line(reader)).startswith(b"BUSY ")
-            # A relay that restarted before this one may not be back: until late, clients are served here.
+            # A relay that restarted before this one may not be up yet: clients are served here until late.
             ends = [asyncio.ensure_future(r.read(-1)) for r, _ in clients]
             await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
             assert asyncio.get_running_loop().time() - began > least
@@ -477,12 +481,12 @@
 
 
 def test_invalid_lines_a_flood_and_too_many_clients_harm_nobody_else(tmp_path: Path) -> None:
-    """Guards against lines without end, and against a relay out of descriptors that stops to accept."""
+    """Guards against endless lines, and against a relay that stops accepting when descriptors run out."""
 
     async def test() -> None:
         async with (
             GateServer() as server, Discovery(server) as discovery,
-            start_relay(tmp_path, discovery, sockets=70) as it,  # room for three clients
+            start_relay(tmp_path, discovery, sockets=70) as it,  # leaves descriptors for three clients
         ):  # fmt: skip
             for bad in (
                 b"x" * 9000,
@@ -508,16 +512,18 @@
 
 
 def test_id_of_an_open_connection_is_rejected_and_its_owner_untouched(tmp_path: Path) -> None:
-    """Guards against a copied id: the gate server turns it away, which then counts against a sound server."""
+    """Guards against a copied id: the gate server rejects it, which would count against a healthy server."""
 
     async def test() -> None:
         server = GateServer()
         async with relay_with_servers(tmp_path, server) as (it, _):
             copied = opening_line(b"c=checkin,t=acme,d=1000")
-            for _ in range(2):  # also once its owner is gone
+            for _ in range(2):  # also after its owner has disconnected
                 reader, writer = await it.open()
                 writer.write(copied[:30])
-                writer.write(copied[30:] + b"M 1\r\nM 2\r\n")  # legal: in pieces, and more right behind it
+                writer.write(
+                    copied[30:] + b"M 1\r\nM 2\r\n"
+                )  # valid: the line in pieces, with more lines after it
                 if server.opened:
                     assert await reader.read(-1) == b"ERR\r\n"
                     break
@@ -540,12 +546,12 @@
 
 
 def test_hundreds_of_silent_clients_keep_nobody_out_and_are_ended(tmp_path: Path) -> None:
-    """Guards against clients that hold descriptors and never ask: usual ones get in, those get a word."""
+    """Guards against silent clients that use up all descriptors: they are answered, others are served."""
 
     async def test() -> None:
         async with (
             GateServer() as server, Discovery(server) as discovery,
-            start_relay(tmp_path, discovery, sockets=76) as it,  # room for twelve descriptors of clients
+            start_relay(tmp_path, discovery, sockets=76) as it,  # leaves twelve descriptors for clients
         ):  # fmt: skip
             silent = [await it.open() for _ in range(100)]
             silent[-1][1].write(b"OPEN half a li")
@@ -562,7 +568,7 @@
 
 
 def test_answer_arrives_though_the_client_sent_more_than_was_read(tmp_path: Path) -> None:
-    """Guards against a close with unread bytes: it resets, and the client loses the line it was sent."""
+    """Guards against closing with unread bytes: TCP sends a reset, and the client loses its answer."""
 
     async def test() -> None:
         async with relay_with_servers(tmp_path, GateServer()) as (it, _):
@@ -603,7 +609,7 @@
 
 
 def test_log_drops_and_counts_repeated_lines() -> None:
-    """Guards against a log that one client fills."""
+    """Guards against a client that fills the log."""
     limit, clock = RepeatedLineFilter(), iter([0.0] * 20 + [11.0] * 2)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("violetdoor.net.log_filter.time.monotonic", lambda: next(clock))
@@ -616,7 +622,7 @@
 
 
 def test_accept_survives_a_shortage_of_descriptors(tmp_path: Path) -> None:
-    """Guards against a relay that stops to listen for good once the system gave it no descriptor."""
+    """Guards against a relay that never accepts again after accept failed for want of a descriptor."""
 
     async def test() -> None:
         async with relay_with_servers(tmp_path, GateServer()) as (it, discovery):
@@ -636,18 +642,20 @@
 
 
 def test_server_with_slow_health_checks_loses_clients_to_the_others(tmp_path: Path) -> None:
-    """Guards against what the echoes do not tell: they come at once from a server that is overloaded."""
+    """Guards against relying on echoes alone: an overloaded server may still echo without delay."""
 
     async def test() -> None:
         one, two = GateServer(), GateServer()
-        one.pong_after = two.pong_after = 0.04  # so long that this machine's own pauses look short beside it
+        one.pong_delay_seconds = two.pong_delay_seconds = (
+            0.04  # s; long compared with scheduling delays of the machine
+        )
         limits = SETTINGS["policyLimits"] | {"probes": True}
         async with relay_with_servers(tmp_path, one, two, policyLimits=limits) as (it, _):
             clients = [await open_client(it, b"c=checkin,t=acme,d=1000") for _ in range(30)]
             assert all([await read_line(reader) == b"UP r1\r\n" for reader, _ in clients])
-            await wait_until(lambda: one.probes and two.probes)
+            await wait_until(lambda: one.health_checks and two.health_checks)
             moved = [asyncio.ensure_future(r.read(-1)) for r, _ in clients]
-            one.pong_after = 0.4
+            one.pong_delay_seconds = 0.4
             await wait_until(lambda: one.ended)
             await wait_until(lambda: any(m.done() for m in moved))
             assert {m.result() for m in moved if m.done()} == {b"MOVE\r\n"}
@@ -659,20 +667,22 @@
 
 
 def test_sighup_changes_to_the_discovery_in_the_file_and_nothing_else(tmp_path: Path) -> None:
-    """Guards against an end by SIGHUP, against the environment outranking a file that is newer, and against
-    what the old address leaves behind: its version, its call that waits, the back-off of its failures."""
+    """Guards against SIGHUP ending the process, and the environment overriding the newer file.
+
+    Also guards against state of the old address: its version, its waiting poll, its back-off.
+    """
 
     async def test() -> None:
         one, two = GateServer(), GateServer()
         async with one, two, Discovery(one) as old, Discovery(two) as new, Discovery(one) as last:
             old.version, new.version = 41, 3
             async with start_relay(tmp_path, old, BALANCER_DISCOVERY=old.address) as it:
-                await wait_until(lambda: old.asked[-1:] == [41])
+                await wait_until(lambda: old.requested_versions[-1:] == [41])
                 standing, writer = await open_client(it)
                 assert await read_line(standing) == b"UP r1\r\n"
                 old.broken = True
                 old.set_state(one, "up")
-                await wait_until(lambda: old.calls >= 4)  # the back-off grows
+                await wait_until(lambda: old.calls >= 4)  # so the back-off has grown
                 rewrite_discovery(tmp_path, "half an addr")
                 it.process.send_signal(signal.SIGHUP)
                 await wait_until(lambda: it.logged("reload failed, the old values stay"))
@@ -680,10 +690,10 @@
                     rewrite_discovery(tmp_path, discovery.address)
                     began = asyncio.get_running_loop().time()
                     it.process.send_signal(signal.SIGHUP)
-                    asked, wanted = discovery.asked, [discovery.version]
+                    asked, wanted = discovery.requested_versions, [discovery.version]
                     await wait_until(lambda asked=asked, wanted=wanted: asked[-1:] == wanted)  # type: ignore[misc]
                     assert asyncio.get_running_loop().time() - began < 1
-                    assert discovery.asked[0] is None  # the whole list first, then the watch on it
+                    assert discovery.requested_versions[0] is None  # first the whole list, then the watch
                     reader, _ = await open_client(it)
                     assert await read_line(reader) == b"UP r1\r\n"
                     assert len(server.opened) == 1 + (server is one)
@@ -707,19 +717,21 @@
 
 
 def test_load_line_that_reports_a_message_delay_migrates_clients_off_its_server(tmp_path: Path) -> None:
-    """One word for two notes: a server that says how long its messages take lost its clients before."""
+    """Guards against a delay note that is taken for a load: both have the keyword LOAD."""
 
     async def test() -> None:
         slow = GateServer(first_answer=b"UP r1\r\nLOAD 46000\r\n")  # its load comes with UP
         async with relay_with_servers(tmp_path, slow) as (it, _):
             kept: list[tuple[Reader, Writer]] = []
-            while len(kept) < 41:  # each one is moved with 0.44; on a busy machine set-ups take long: BUSY
+            while len(kept) < 41:  # migrated with probability 0.44 each; a busy machine may answer BUSY
                 client = await open_client(it)
                 if await read_line(client[0]) == b"UP r1\r\n":
                     kept.append(client)
             for reader, _ in kept:
                 assert await read_line(reader) == b"LOAD 46000\r\n"
-            clients = [reader for reader, _ in kept[:-1]]  # the server tells it on the last one's
+            clients = [
+                reader for reader, _ in kept[:-1]
+            ]  # the delay is reported on the last client's connection
             slow.writers[-1].write(b"LOAD 462.190\r\n")
             lines = [asyncio.create_task(read_line(reader)) for reader in clients]
             done, _ = await asyncio.wait(lines, return_when=asyncio.FIRST_COMPLETED)
@@ -736,33 +748,38 @@
     load, delay = MeasurementKind.LOAD, MeasurementKind.MESSAGE_DELAY
     assert notes.classify("s", 1, 46_000.0, 0.0) is load
     assert notes.classify("s", 1, 17.2, 0.0) is delay
-    assert notes.classify("s", 2, 4_100.0, 1_000.0) is load  # it is known to be late, but not by so much
+    assert (
+        notes.classify("s", 2, 4_100.0, 1_000.0) is load
+    )  # a delay is known, but cannot have grown this much
     assert notes.classify("s", 2, 1_900.0, 1_000.0) is delay
     assert notes.classify("t", 3, 2_100.0, 1_000.0) is load
-    assert notes.classify("t", 4, 2_200.0, 1_500.0) is load  # of another connection
-    assert notes.classify("t", 4, 2_900.0, 2_500.0) is delay  # no load changes each second
+    assert notes.classify("t", 4, 2_200.0, 1_500.0) is load  # on another connection
+    assert notes.classify("t", 4, 2_900.0, 2_500.0) is delay  # a load does not change every second
     assert notes.classify("u", 5, 3_000.0, 0.0) is notes.classify("u", 5, 3_100.0, 9_000.0) is load
     assert notes.classify("t", 4, 90.0, 4_000.0) is delay
-    assert set(notes.last_delay_by_server) == {"t"}  # what is long over is not kept
+    assert set(notes.last_delay_by_server) == {"t"}  # old delays are dropped
 
 
 def test_load_of_a_light_connection_is_no_delay() -> None:
-    """Where loads differ by a hundred times many are under 1,000 us/s: each moved half of a relay's clients."""
+    """Guards against taking loads under 1,000 us/s for delays: each migrated half of a relay's clients.
+
+    Many are as low where loads differ by a factor of a hundred.
+    """
     notes = LoadNoteClassifier()
     load, delay = MeasurementKind.LOAD, MeasurementKind.MESSAGE_DELAY
-    assert notes.classify("s", 1, 622.0, 0.0, last_load=None, age_ms=30.0) is load  # told with UP
+    assert notes.classify("s", 1, 622.0, 0.0, last_load=None, age_ms=30.0) is load  # sent with UP
     assert notes.classify("s", 1, 139.0, 4_000.0, last_load=622.0, age_ms=4_030.0) is load
     assert (
         notes.classify("s", 2, 17.0, 4_000.0, last_load=622.0, age_ms=9_000.0) is delay
-    )  # no load falls so far at once
+    )  # a load does not fall this far between two reports
     assert (
         notes.classify("s", 2, 500.0, 5_000.0, last_load=622.0, age_ms=9_000.0) is delay
-    )  # of a server that is late
+    )  # its server has a known delay
     assert notes.classify("t", 3, 622.0, 0.0, last_load=46_000.0, age_ms=9_000.0) is delay
     assert (
         notes.classify("t", 4, 622.0, 9_000.0, last_load=None, age_ms=9_000.0) is delay
-    )  # its first line came late
+    )  # its first line is too late to be the load after UP
     assert notes.classify("u", 5, 1_900.0, 0.0, last_load=1_500.0, age_ms=900.0) is load
     assert (
         notes.classify("u", 5, 2_900.0, 1_000.0, last_load=1_900.0, age_ms=1_900.0) is delay
-    )  # no load changes each second
+    )  # a load does not change every second
--- a/tests/test_nats.py
+++ b/tests/test_nats.py
@@ -1,4 +1,4 @@
-"""The NATS front: a real process between stand-in servers and clients, nats-py among them."""
+"""The NATS front as a process between stand-in servers and clients, some of them nats-py."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 class Client:
-    """A client that speaks the protocol by hand."""
+    """A client that sends raw protocol lines."""
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
         self.reader, self.writer = reader, writer
@@ -75,13 +75,13 @@
         self.writer.write(b"".join(line + b"\r\n" for line in lines))
 
     async def line(self) -> bytes:
-        """The next line; nothing at the end, a blank for an empty line."""
+        """Return the next line; b"" at the end of the stream, b" " for an empty line."""
         async with asyncio.timeout(10):
             line = await self.reader.readline()
         return line and (line.rstrip() or b" ")
 
     async def flush(self) -> list[bytes]:
-        """PING, and all lines up to the PONG."""
+        """Send PING; return all lines before its PONG."""
         self.send(b"PING")
         lines: list[bytes] = []
         while (line := await self.line()) != b"PONG":
@@ -120,7 +120,7 @@
 
 
 def test_subscription_survives_an_unresponsive_server_without_duplicates(tmp_path: Path) -> None:
-    """Guards against a server that accepts and then says nothing: it looks alive to TCP."""
+    """Guards against a server that accepts and then goes silent: TCP reports no failure."""
 
     async def test() -> None:
         peers: list[NatsServer] = []
@@ -141,11 +141,11 @@
             for n in range(100):
                 first.publish(b"feed", b"%d" % n)
             await wait_until(lambda: len(got) == 100)
-            first.silent = True
-            for n in range(100, 110):  # nobody holds the subscription: these are lost, and only these
+            first.is_unresponsive = True
+            for n in range(100, 110):  # no responsive server has the subscription: only these are lost
                 other.publish(b"feed", b"%d" % n)
             await wait_until(lambda: any(other.subs.values()))
-            first.silent = False  # what it may still say must not reach the client
+            first.is_unresponsive = False  # its further data must not reach the client
             for n in range(110, 200):
                 other.publish(b"feed", b"%d" % n)
             await wait_until(lambda: got[b"199"])
@@ -160,7 +160,7 @@
 
 
 def test_retried_publications_reach_a_subscriber_once(tmp_path: Path) -> None:
-    """Guards against a message seen twice: the first server passed it on but never confirmed it."""
+    """Guards against duplicates: the first server delivers the messages but never confirms them."""
 
     async def test() -> None:
         peers: list[NatsServer] = []
@@ -176,14 +176,14 @@
             await writer.flush()
             first = next(s for s in (one, two) if any(b"9" in subs for subs in s.subs.values()))
             other = two if first is one else one
-            first.mute = True
+            first.withholds_pongs = True
             for n in range(30):
                 writer.publish(f"with-{n}", identity=f"id-{n}")
             writer.publish("plain")
             writer.publish("asks", reply="inbox")
             await wait_until(lambda: len(first.published) == 32)
             await wait_until(lambda: len(other.published) == 30)
-            first.mute = False
+            first.withholds_pongs = False
             lines = [*await writer.flush(), *await writer.flush()]
             assert [line for line in lines if line.startswith((b"HMSG", b"NATS"))] == [
                 b"HMSG inbox 9 16 16", b"NATS/1.0 503",
@@ -233,7 +233,7 @@
 
 
 def test_planned_migration_loses_nothing(tmp_path: Path) -> None:
-    """A server in lame-duck mode is left behind a fence: what it had in flight arrives."""
+    """Guards against losing messages in flight when the client migrates off a server in lame-duck mode."""
 
     async def test() -> None:
         peers: list[NatsServer] = []
@@ -277,7 +277,7 @@
 
 
 def test_sighup_applies_servers_and_tenants_and_leaves_sessions_alone(tmp_path: Path) -> None:
-    """Guards against a reload that ends sessions, and against a wrong file that changes half of it all."""
+    """Guards against a reload that ends sessions, and an invalid file that is applied in part."""
 
     async def test() -> None:
         async with NatsServer() as one, NatsServer() as two, start_nats_relay(tmp_path, one) as it:
@@ -317,7 +317,7 @@
                 client = await Client.connect(it, user="stranger")
                 assert [await client.line(), await client.line()] == [b"-ERR 'Authorization Violation'", b""]
         async with NatsServer() as server:
-            server.silent = True
+            server.is_unresponsive = True
             async with start_nats_relay(tmp_path, server, deadline=300) as it:
                 client = await Client.connect(it)
                 assert [await client.line(), await client.line()] == [b"-ERR 'Placement Timeout'", b""]
@@ -357,7 +357,7 @@
 
 
 def test_slow_consumer_stale_client_and_connection_limit(tmp_path: Path) -> None:
-    """Guards against clients that take nothing, say nothing, or are too many."""
+    """Guards against clients that stop reading, are silent, or exceed the limit."""
 
     async def test() -> None:
         async with (
@@ -389,21 +389,21 @@
 
 
 class LateGreeting(NatsServer):
-    """Sends its INFO when the test says so; a server that turns clients away then says that first."""
+    """Sends INFO once `greeting` is set, or `rejection` instead if that is given."""
 
-    def __init__(self, away: bytes = b"") -> None:
+    def __init__(self, rejection: bytes = b"") -> None:
         super().__init__()
-        self.away, self.greeting = away, asyncio.Event()
+        self.rejection, self.greeting = rejection, asyncio.Event()
 
     async def serve(self, reader: Reader, writer: Writer) -> None:
         await self.greeting.wait()
-        if self.away:
-            writer.write(self.away)
+        if self.rejection:
+            writer.write(self.rejection)
             return
         await super().serve(reader, writer)
 
 
-LEAVES = (
+DISCONNECT_CASES = (
     "end",
     "reset",
     "half",
@@ -414,7 +414,7 @@
 
 
 def disconnect(client: Client, how: str) -> None:
-    """End a client's connection, with operations before the end that are not read while there is no server."""
+    """Disconnect a client by a close, a half-close or a reset."""
     sock = client.writer.get_extra_info("socket")
     if how.startswith("half"):
         client.writer.write_eof()
@@ -426,7 +426,7 @@
 
 
 async def open_waiting_client(it: Relay, *servers: LateGreeting, how: str) -> Client:
-    """A client that is being placed at one of these."""
+    """Return a client that is being placed on one of these servers, with unread operations if `how` says so."""
     client = await Client.connect(it, user="app")
     if "behind" in how:
         client.publish("one")
@@ -436,7 +436,7 @@
     return client
 
 
-@pytest.mark.parametrize("how", LEAVES)
+@pytest.mark.parametrize("how", DISCONNECT_CASES)
 def test_disconnected_client_is_not_presented_to_a_server_that_greets_late(tmp_path: Path, how: str) -> None:
     async def test() -> None:
         async with LateGreeting() as server, start_nats_relay(tmp_path, server) as it:
@@ -452,12 +452,12 @@
     run(test)
 
 
-@pytest.mark.parametrize("how", LEAVES)
+@pytest.mark.parametrize("how", DISCONNECT_CASES)
 def test_disconnected_client_is_not_presented_to_the_next_server(tmp_path: Path, how: str) -> None:
     async def test() -> None:
-        away = b"INFO {}\r\n-ERR 'maximum connections exceeded'\r\n"
+        rejection = b"INFO {}\r\n-ERR 'maximum connections exceeded'\r\n"
         async with (
-            LateGreeting(away) as one, LateGreeting(away) as two,
+            LateGreeting(rejection) as one, LateGreeting(rejection) as two,
             start_nats_relay(tmp_path, one, two, discovery='console = "127.0.0.1:0"') as it,
         ):  # fmt: skip
             client = await open_waiting_client(it, one, two, how=how)
@@ -474,9 +474,9 @@
     run(test)
 
 
-@pytest.mark.parametrize("how", LEAVES)
+@pytest.mark.parametrize("how", DISCONNECT_CASES)
 def test_disconnect_while_no_server_is_listed_is_seen_in_time(tmp_path: Path, how: str) -> None:
-    """Its server says nothing at all: the session ends with the client, not with its deadline."""
+    """Guards against a session that outlives its client until the deadline, as its server never answers."""
 
     async def test() -> None:
         async with LateGreeting() as server, start_nats_relay(tmp_path, server, deadline=30_000) as it:
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -1,7 +1,7 @@
-"""The wire of both fronts, towards clients and servers: the bytes of revision 300e9a1.
+"""The bytes of both fronts, towards clients and servers, compared with those of revision 300e9a1.
 
-Encoders are compared whole; two scripts are played with the program as a process between stand-ins, and all
-that it writes to either side is compared, with the time left and random identities masked.
+The output of the encoders is compared in full. Two scripts run the program as a process between stand-ins and
+compare all that it writes to either side, with the time left and random ids masked.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def opening() -> Opening:
-    """An OPEN line in its parts, each value another."""
+    """Return a parsed OPEN line with a different value in each field."""
     return Opening(
         connection_id=0x11, request_class="checkin", tenant="acme", idempotency_key=0x22, time_left_ms=333.0, load=4.5, group=0x55, is_retry=True,
         is_reconnect=False, existing_server="s-6", bytes_before_time=b"OPEN 11 22 c=checkin,d=", bytes_after_time=b",t=acme\r\n",
@@ -59,7 +59,7 @@
 
 
 def read_opening(line: bytes) -> dict[str, Any]:
-    """What the program reads in an OPEN line, and what it sends on; by the line's own names."""
+    """Return the parsed values of an OPEN line by their names there, and the lines that are forwarded."""
     read = parse_opening(memoryview(line), {"checkin": 1000.0}, frozenset({"acme"}))
     return {
         "id": read.connection_id, "key": read.idempotency_key, "c": read.request_class, "t": read.tenant, "d": read.time_left_ms, "h": read.load,
@@ -69,7 +69,7 @@
 
 
 async def read_frames(data: bytes, client: bool) -> list[dict[str, Any]]:
-    """What the program reads in such bytes."""
+    """Return the frames that the program parses from these bytes."""
     near, far = socket.socketpair()
     with near, far:
         near.setblocking(False)
@@ -86,9 +86,9 @@
         return found
 
 
-def made() -> dict[str, str]:
-    """What the encoders make."""
-    headed = Frame(
+def encoded_samples() -> dict[str, str]:
+    """Return the output of the encoders."""
+    message_with_headers = Frame(
         operation="HMSG", arguments=(b"feed.b", b"7", b"inbox.2", b"12", b"14"), raw=b"", headers=b"NATS/1.0\r\n\r\n",
         payload=b"yo",
     )  # fmt: skip
@@ -102,7 +102,7 @@
         "unsub": frames.unsubscribe(sid=b"7"),
         "unsub_most": frames.unsubscribe(sid=b"7", max_messages=3),
         "status": frames.status(sid=b"7", subject=b"inbox.1", code=503),
-        "without_headers": frames.without_headers(headed),
+        "without_headers": frames.without_headers(message_with_headers),
         "replay": limited.replay(),
         "replay_unlimited": Subscription(b"8", b"ask").replay(),
     }
@@ -112,8 +112,8 @@
 # Transcripts.
 
 
-class RecordedGate(GateServer):
-    """Keeps every byte that the program writes, and says LOAD and a farewell when it is told to."""
+class RecordingGateServer(GateServer):
+    """Records every line that the program writes; sends a LOAD line, and BYE on the line `end`."""
 
     def __init__(self) -> None:
         super().__init__(first_answer=b"UP r1\r\nLOAD 4100.5\r\nhello\r\n")
@@ -157,8 +157,8 @@
         yield it
 
 
-async def talk(it: Relay, *lines: bytes, until_end: bool = True) -> list[str]:
-    """Say these, each after something came for the one before; all that comes, to the end."""
+async def exchange_lines(it: Relay, *lines: bytes, until_end: bool = True) -> list[str]:
+    """Send each line after an answer to the previous one; return all received lines up to the end."""
     reader, writer = await it.open()
     got = b""
     for line in lines:
@@ -172,52 +172,58 @@
 
 
 async def line_script(folder: Path) -> dict[str, list[str]]:
-    """One client after another on the line front: what each gets, and what the server gets."""
-    said: dict[str, list[str]] = {}
+    """Run clients on the line front one after another; return what each of them and the server got."""
+    transcripts: dict[str, list[str]] = {}
     ask = b"OPEN a%d b1 c=checkin,t=acme,d=1000,g=5c0f"
-    async with RecordedGate() as gate, Discovery(gate) as discovery, line_relay(folder, discovery) as it:
-        said["stands"] = await talk(
+    async with (
+        RecordingGateServer() as gate,
+        Discovery(gate) as discovery,
+        line_relay(folder, discovery) as it,
+    ):
+        transcripts["stands"] = await exchange_lines(
             it, b"PING\r\n", ask % 1 + b",h=2,again=1,x=y\r\n", b"M 1\r\n", b"M 2 x\r\n", b"end\r\n"
         )
-        said["syntax"] = await talk(it, b"GET / HTTP/1.1\r\n")
-        said["class"] = await talk(it, b"OPEN a2 b1 c=other,t=acme,d=1000\r\n")
-        said["id_used"] = await talk(it, ask % 1 + b"\r\n")
+        transcripts["syntax"] = await exchange_lines(it, b"GET / HTTP/1.1\r\n")
+        transcripts["class"] = await exchange_lines(it, b"OPEN a2 b1 c=other,t=acme,d=1000\r\n")
+        transcripts["id_used"] = await exchange_lines(it, ask % 1 + b"\r\n")
         reader, writer = await it.open()
         writer.write(ask % 3 + b",r=1\r\n")
         moved = [await reader.readline() for _ in range(3)]
         assert (await it.call(f"PUT /gate-servers/s-{gate.address}/maint"))[0] == 200
-        said["moved"] = [line.decode() for line in moved] + [(await reader.read(-1)).decode()]
+        transcripts["moved"] = [line.decode() for line in moved] + [(await reader.read(-1)).decode()]
         writer.close()
         await wait_until(lambda: gate.got[-1] == b"(end)")
-        said["gate"] = [line.decode() for line in gate.got]
+        transcripts["gate"] = [line.decode() for line in gate.got]
     async with (
         GateServer(first_answer=b"WHAT\r\n") as gate,
         Discovery(gate) as discovery,
         line_relay(folder, discovery) as it,
     ):
-        failed = await talk(it, ask % 4 + b"\r\n")
-        said["failed"] = [re.sub(r"BUSY \d+", "BUSY WAIT", line) for line in failed]  # it is drawn
+        failed = await exchange_lines(it, ask % 4 + b"\r\n")
+        transcripts["failed"] = [
+            re.sub(r"BUSY \d+", "BUSY WAIT", line) for line in failed
+        ]  # the value is random
     async with GateServer() as gate, Discovery(gate) as discovery, line_relay(folder, discovery) as it:
         reader, writer = await it.open()
         writer.write(ask % 5 + b"\r\n")
         assert await reader.readline() == b"UP r1\r\n"
         it.process.terminate()
         await wait_until(lambda: it.logged("serving -> draining"))
-        said["leaving"] = await talk(it, ask % 6 + b"\r\n")
-        said["leaving_moved"] = [(await reader.read(-1)).decode()]
+        transcripts["leaving"] = await exchange_lines(it, ask % 6 + b"\r\n")
+        transcripts["leaving_moved"] = [(await reader.read(-1)).decode()]
         writer.close()
     limits = LINE_CONFIG["policyLimits"] | {"probes": True}
     for name, how in (("probes", "none"), ("probes_with_report", "probe")):
         settings = {"policyLimits": limits, "report": {"how": how, "columns": ["queue", "util"]}}
         async with (
-            RecordedGate() as gate,
+            RecordingGateServer() as gate,
             Discovery(gate) as discovery,
             line_relay(folder, discovery, **settings) as it,
         ):
-            await talk(it, ask % 7 + b"\r\n", b"end\r\n")
+            await exchange_lines(it, ask % 7 + b"\r\n", b"end\r\n")
             await wait_until(lambda: gate.probe_lines)
-            said[name] = sorted(line.decode() for line in gate.probe_lines)
-    return said
+            transcripts[name] = sorted(line.decode() for line in gate.probe_lines)
+    return transcripts
 
 
 NATS_CONFIG = """
@@ -241,8 +247,8 @@
 """
 
 
-class RecordedNats(NatsServer):
-    """Keeps every operation but PING, whose time is the program's own."""
+class RecordingNatsServer(NatsServer):
+    """Records every operation; PINGs apart, because their times depend on the program's timers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -265,21 +271,21 @@
 
 
 class NatsClient:
-    """Speaks by hand and keeps all that comes."""
+    """A client that sends raw protocol text and records what it receives."""
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
         self.reader, self.writer, self.got = reader, writer, ""
 
-    async def say(self, text: str, wanted: str) -> None:
-        """Send these bytes, wait until that has come."""
+    async def send_and_expect(self, text: str, expected: str) -> None:
+        """Send this text; wait until the received text ends with `expected`."""
         self.writer.write(text.encode())
         async with asyncio.timeout(10):
-            while not self.got.endswith(wanted):
+            while not self.got.endswith(expected):
                 data = await self.reader.read(4096)
                 assert data, self.got
                 self.got += masked_info(data.decode())
 
-    async def rest(self) -> list[str]:
+    async def read_to_end(self) -> list[str]:
         async with asyncio.timeout(10):
             self.got += masked_info((await self.reader.read(-1)).decode())
         self.writer.close()
@@ -287,59 +293,59 @@
 
 
 async def nats_script(folder: Path) -> dict[str, list[str]]:
-    """Clients on the NATS front: what each gets, and what the server gets."""
-    said: dict[str, list[str]] = {}
+    """Run clients on the NATS front; return what each of them and the server got."""
+    transcripts: dict[str, list[str]] = {}
     connect = (
         'CONNECT {"verbose":%s,"user":"%s","name":"it","headers":%s,"no_responders":true,"lang":"x"}\r\n'
     )
-    headed = "HPUB feed.b in.2 32 34\r\nNATS/1.0\r\nNats-Msg-Id:  m-1 \r\n\r\nyo\r\n"
-    async with RecordedNats() as server:
+    message_with_headers = "HPUB feed.b in.2 32 34\r\nNATS/1.0\r\nNats-Msg-Id:  m-1 \r\n\r\nyo\r\n"
+    async with RecordingNatsServer() as server:
         path = folder / "nats.toml"
         path.write_text(NATS_CONFIG + f'[[servers]]\naddr = "{server.address}"\n')
         async with relay("--config", str(path)) as it:
             client = NatsClient(*await it.open())
-            await client.say(connect % ("false", "app", "true") + "PING\r\n", "PONG\r\n")
-            await client.say(
+            await client.send_and_expect(connect % ("false", "app", "true") + "PING\r\n", "PONG\r\n")
+            await client.send_and_expect(
                 "SUB feed.* 7\r\nSUB ask q1 8\r\nUNSUB 8 5\r\nSUB in.* 9\r\nPING\r\n", "PONG\r\nPONG\r\n"
             )
-            await client.say("PUB feed.a 5\r\nhello\r\n", "hello\r\n")
-            await client.say("PUB ask in.1 2\r\nhi\r\n", "hi\r\n")
-            await client.say(headed, "yo\r\n")
-            await client.say(headed + "UNSUB 9\r\nPING\r\n", "PONG\r\n")
-            await client.say("SUB a..b 10\r\n", "Subject'\r\n")
+            await client.send_and_expect("PUB feed.a 5\r\nhello\r\n", "hello\r\n")
+            await client.send_and_expect("PUB ask in.1 2\r\nhi\r\n", "hi\r\n")
+            await client.send_and_expect(message_with_headers, "yo\r\n")
+            await client.send_and_expect(message_with_headers + "UNSUB 9\r\nPING\r\n", "PONG\r\n")
+            await client.send_and_expect("SUB a..b 10\r\n", "Subject'\r\n")
             server.send_to_all(b"-ERR 'Permissions Violation for Publish to \"x\"'\r\n")
-            await client.say("", '"x"\'\r\n')
-            server.abort_connections()  # what it has is set up again on the next connection
-            await client.say("PING\r\n", "PONG\r\n")
-            await client.say("PUB feed.c 3\r\nnew\r\n", "new\r\n")
-            server.mute = True
-            await client.say("PUB feed.d in.4 4\r\nlost\r\n", "lost\r\n")
+            await client.send_and_expect("", '"x"\'\r\n')
+            server.abort_connections()  # the client's state is restored on the next connection
+            await client.send_and_expect("PING\r\n", "PONG\r\n")
+            await client.send_and_expect("PUB feed.c 3\r\nnew\r\n", "new\r\n")
+            server.withholds_pongs = True
+            await client.send_and_expect("PUB feed.d in.4 4\r\nlost\r\n", "lost\r\n")
             client.writer.write(b"BAD\r\n")
-            said["client"] = await client.rest()
-            server.mute = False
+            transcripts["client"] = await client.read_to_end()
+            server.withholds_pongs = False
             verbose = NatsClient(*await it.open())
-            await verbose.say(connect % ("true", "app", "false"), "+OK\r\n")
-            await verbose.say("SUB feed.* 1\r\n", "+OK\r\n")
-            await verbose.say("PING\r\n", "PONG\r\n")
-            await verbose.say("", "PONG\r\n")
+            await verbose.send_and_expect(connect % ("true", "app", "false"), "+OK\r\n")
+            await verbose.send_and_expect("SUB feed.* 1\r\n", "+OK\r\n")
+            await verbose.send_and_expect("PING\r\n", "PONG\r\n")
+            await verbose.send_and_expect("", "PONG\r\n")
             server.publish(b"feed.b", b"NATS/1.0\r\n\r\nyo", head=12)
-            await verbose.say("", "yo\r\n")
+            await verbose.send_and_expect("", "yo\r\n")
             denied = NatsClient(*await it.open())
             denied.writer.write((connect % ("false", "nobody", "true")).encode())
-            said["denied"] = await denied.rest()
+            transcripts["denied"] = await denied.read_to_end()
             large = NatsClient(*await it.open())
             large.writer.write((connect % ("false", "app", "true") + "PUB a 9999\r\n").encode())
-            said["large"] = await large.rest()
+            transcripts["large"] = await large.read_to_end()
             it.process.terminate()
-            said["verbose_and_leaving"] = await verbose.rest()
-        said["server"] = server.got
-        said["pings"] = sorted(server.pings)
-    return said
+            transcripts["verbose_and_leaving"] = await verbose.read_to_end()
+        transcripts["server"] = server.got
+        transcripts["pings"] = sorted(server.pings)
+    return transcripts
 
 
 async def sample(folder: Path) -> dict[str, Any]:
-    """All of it."""
-    values: dict[str, Any] = {"made": made()}
+    """Return all samples of this module."""
+    values: dict[str, Any] = {"made": encoded_samples()}
     values["openings"] = {name: read_opening(line) for name, line in OPEN_LINES.items()}
     values["reports"] = {name: dict(parse_load_report(line)) for name, line in REPORT_LINES.items()}
     values["frames"] = {name: await read_frames(data, name == "client") for name, data in FRAMES.items()}
@@ -353,7 +359,7 @@
 
 
 def test_encoders_make_the_recorded_bytes() -> None:
-    assert made() == recorded("made")
+    assert encoded_samples() == recorded("made")
 
 
 @pytest.mark.parametrize("name", OPEN_LINES)
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter: round trip, bad input, faults, and the README's example."""
+"""The simulator adapter: round trip, invalid input, exceptions, and the README's example."""
 
 import io
 import json
@@ -16,7 +16,7 @@
 from violetdoor.simhost.wire import read_event
 
 ROOT = Path(__file__).parent.parent
-FACTS: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "accounts": [{"name": "one", "share": 1.0}],
     "classes": [{"name": "feed", "goalTime": 300.0, "effect": "idempotent", "worth": 2.0, "new": 1}],
     "familyInfo": {"messageAim": [50.0]},
@@ -26,7 +26,7 @@
     "period": 5.0,
     "unheard_of": {"x": 1},
 }
-START = ["NewInstance", 1, 7, FACTS]
+START = ["NewInstance", 1, 7, SETTINGS]
 LIST = ["Targets", 1, "remembered", 4, [["10.0.0.1:80", "a", "k", 0, "on", 1, None]]]
 QUERY = ["Query", 1, 11, "feed", "one", None, 2000.0, 5.0, None, False, False, False]
 
@@ -48,7 +48,7 @@
 
 
 def test_platform_settings_are_translated() -> None:
-    settings = parse_platform_settings(FACTS)
+    settings = parse_platform_settings(SETTINGS)
     assert settings.classes["feed"].priority_weight == 2.0
     assert settings.classes["feed"].message_latency_objective_ms == 50.0
     assert settings.max_retry_after_ms == 900.0
@@ -57,7 +57,7 @@
 
 def test_instances_are_independent() -> None:
     alone = exchange((20.0, [START, LIST]), (30.0, [QUERY]))
-    other = [["NewInstance", 2, 9, FACTS], ["Targets", 2, *LIST[2:]]]
+    other = [["NewInstance", 2, 9, SETTINGS], ["Targets", 2, *LIST[2:]]]
     both = exchange((20.0, [*other, START, LIST]), (30.0, [["Query", 2, *QUERY[2:]], QUERY]))
     assert [[s for s in r if s[1] == 1] for r in both] == alone
 
--- a/violetdoor/fronts/line/shutdown.py
+++ b/violetdoor/fronts/line/shutdown.py
@@ -16,8 +16,8 @@
     from violetdoor.core import Controller, RequestHandle
     from violetdoor.net.acceptor import Acceptor
 
-# SIGKILL follows SIGTERM after the longest deadline, capped at MAX_DEADLINE_SECONDS, plus
-# KILL_AFTER_DEADLINE_SECONDS at the earliest.
+# SIGKILL comes no sooner after SIGTERM than the longest deadline (MAX_DEADLINE_SECONDS at most) plus
+# KILL_AFTER_DEADLINE_SECONDS.
 MAX_DEADLINE_SECONDS = 3.0
 KILL_AFTER_DEADLINE_SECONDS = 0.7
 EXIT_MARGIN_SECONDS = 0.2  # the program exits this long before SIGKILL
