--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -37,9 +37,9 @@
 # SIGTERM.
 
 
-@pytest.mark.parametrize("said", [b"", b"PING\r\n", b"OPEN 9b1f"])
+@pytest.mark.parametrize("sent", [b"", b"PING\r\n", b"OPEN 9b1f"])
 def test_idle_client_gets_a_last_word_at_shutdown_and_later_bytes_go_nowhere(
-    tmp_path: Path, said: bytes
+    tmp_path: Path, sent: bytes
 ) -> None:
     """Guards against a request sent during shutdown that gets no answer, or is still forwarded."""
 
@@ -47,8 +47,8 @@
         server = GateServer()
         async with relay_around(tmp_path, server) as (it, _):
             reader, writer = await it.open()
-            writer.write(said)
-            if said.startswith(b"PING"):
+            writer.write(sent)
+            if sent.startswith(b"PING"):
                 assert await read_line(reader) == b"PONG\r\n"
             await wait_until(lambda: it.address)
             while not await read_counter(it, "accepted"):
@@ -139,9 +139,9 @@
             async with asyncio.timeout(TIMEOUT_SECONDS):
                 await asked.wait()
                 process.terminate()
-                _, said = await process.communicate()
-            assert process.returncode == 0, said
-            assert b"draining -> stopped" in said, said
+                _, log_output = await process.communicate()
+            assert process.returncode == 0, log_output
+            assert b"draining -> stopped" in log_output, log_output
 
     run(test)
 
@@ -214,8 +214,8 @@
         limits = SLOW_CONNECT_LIMITS | {"sendCap": 1}
         async with relay_around(tmp_path, GateServer(first_answer=answer), policyLimits=limits) as (it, _):
             reader, _ = await open_client(it, LONG_TIME_LEFT)
-            said = await read_line(reader)
-            assert said == answer if outcome == "ok" else said.startswith(b"BUSY ")
+            received = await read_line(reader)
+            assert received == answer if outcome == "ok" else received.startswith(b"BUSY ")
             assert await read_counter(it, f"attempt_{outcome}") == 1
 
     run(test)
@@ -235,8 +235,8 @@
     async def test() -> None:
         class Ending(GateServer):
             async def serve(self, reader: Reader, writer: Writer) -> None:
-                if said := await reader.readline():
-                    self.opened.append(said)
+                if received := await reader.readline():
+                    self.opened.append(received)
                 writer.write(self.first_answer)
                 await writer.drain()
 
@@ -246,14 +246,14 @@
             it,
             _,
         ):
-            never = answer == b"BUSY\r\n"  # the only proof that nothing was executed
-            again = never or effect == "idempotent"
-            reader, _ = await open_client(it, b"c=checkin,t=acme,d=2500" if again else LONG_TIME_LEFT)
+            is_busy = answer == b"BUSY\r\n"  # the only proof that nothing was executed
+            is_retried = is_busy or effect == "idempotent"
+            reader, _ = await open_client(it, b"c=checkin,t=acme,d=2500" if is_retried else LONG_TIME_LEFT)
             async with asyncio.timeout(5):
-                said = await read_line(reader)
-            assert len(one.opened) + len(two.opened) == (2 if again else 1)
-            refused = effect != "at_most_once" or never
-            assert said.startswith(b"BUSY ") if refused else said == b"ERR\r\n"
+                received = await read_line(reader)
+            assert len(one.opened) + len(two.opened) == (2 if is_retried else 1)
+            is_rejected = effect != "at_most_once" or is_busy
+            assert received.startswith(b"BUSY ") if is_rejected else received == b"ERR\r\n"
 
     run(test)
 
@@ -290,19 +290,19 @@
     run(test)
 
 
-@pytest.mark.parametrize("half", [b"", b"re M"])
+@pytest.mark.parametrize("incomplete", [b"", b"re M"])
 def test_incomplete_line_before_a_server_closes_is_forwarded_with_nothing_after_it(
-    tmp_path: Path, half: bytes
+    tmp_path: Path, incomplete: bytes
 ) -> None:
     async def test() -> None:
         class Cut(GateServer):
             async def serve(self, reader: Reader, writer: Writer) -> None:
                 await reader.readline()
-                writer.write(b"UP r1\r\nre M 1\r\n" + half)
+                writer.write(b"UP r1\r\nre M 1\r\n" + incomplete)
 
         async with relay_around(tmp_path, Cut()) as (it, _):
             reader, _ = await open_client(it)
-            assert await read_to_end(reader) == b"UP r1\r\nre M 1\r\n" + half
+            assert await read_to_end(reader) == b"UP r1\r\nre M 1\r\n" + incomplete
 
     run(test)
 
@@ -339,9 +339,9 @@
 # Closes of an acceptor inside the test's process, with bytes still unread.
 
 
-async def connect_client(acceptor: Acceptor, said: bytes) -> tuple[Reader, Writer]:
+async def connect_client(acceptor: Acceptor, sent: bytes) -> tuple[Reader, Writer]:
     reader, writer = await asyncio.open_connection(*acceptor.address)
-    writer.write(said)
+    writer.write(sent)
     await writer.drain()
     return reader, writer
 
@@ -383,8 +383,8 @@
     uvloop.run(test())
 
 
-@pytest.mark.parametrize("way", ["close", "evict"])
-def test_close_over_unread_bytes_is_not_a_reset(way: str) -> None:
+@pytest.mark.parametrize("ending", ["close", "evict"])
+def test_close_over_unread_bytes_is_not_a_reset(ending: str) -> None:
     """Guards against losing the answer to a reset: more unread bytes than a buffer holds precede the close."""
 
     async def test() -> None:
@@ -404,13 +404,13 @@
         running = asyncio.get_running_loop().create_task(acceptor.run())
         reader, _ = await connect_client(acceptor, b"x" * 30_000)
         await began.wait()
-        if way == "evict":
+        if ending == "evict":
             other = asyncio.current_task()
             assert other is not None
             assert acceptor.evict_longest_waiting(except_for=other)
             assert await read_to_end(reader) == OVERLOAD_ANSWER
         closing = asyncio.get_running_loop().create_task(acceptor.close())
-        if way == "close":
+        if ending == "close":
             assert await read_to_end(reader) == OVERLOAD_ANSWER
         await closing
         await asyncio.gather(running, return_exceptions=True)
@@ -441,14 +441,16 @@
     uvloop.run(test())
 
 
-@pytest.mark.parametrize(("most", "told"), [(120.0, b"BUSY 120\r\n"), (900.0, b"BUSY 300\r\n")])
+@pytest.mark.parametrize(
+    ("max_retry_after", "expected"), [(120.0, b"BUSY 120\r\n"), (900.0, b"BUSY 300\r\n")]
+)
 def test_retry_after_of_an_evicted_client_obeys_the_settings(
-    tmp_path: Path, most: float, told: bytes
+    tmp_path: Path, max_retry_after: float, expected: bytes
 ) -> None:
     async def test() -> None:
-        limits = SETTINGS["policyLimits"] | {"maxRetryAfter": most}
+        limits = SETTINGS["policyLimits"] | {"maxRetryAfter": max_retry_after}
         async with relay_with_servers(tmp_path, GateServer(), policyLimits=limits) as (it, _):
             reader, _ = await it.open()  # sends nothing: for the relay its line may be on the way
-            assert await read_line(reader) == told
+            assert await read_line(reader) == expected
 
     run(test)
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -295,17 +295,20 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "counted"), [({}, 1), ({"tellsDelay": False}, 0), ({"tellsLoad": False}, 2)]
+    ("changed", "counted"), [({}, 1), ({"tellsDelay": False}, 0), ({"tellsLoad": False}, 2)]
 )
 def test_meaning_of_a_load_line_is_what_the_settings_say(
-    tmp_path: Path, told: dict[str, bool], counted: int
+    tmp_path: Path, changed: dict[str, bool], counted: int
 ) -> None:
     """Guards against taking a small load for a message delay where servers report no delays."""
 
     async def test() -> None:
         server = GateServer(first_answer=b"UP r1\r\nLOAD 90000\r\nLOAD 40\r\n")  # its load comes with UP
-        async with relay_with_servers(tmp_path, server, familyInfo=SETTINGS["familyInfo"] | told) as (it, _):
-            _held = await open_client(it)
+        async with relay_with_servers(tmp_path, server, familyInfo=SETTINGS["familyInfo"] | changed) as (
+            it,
+            _,
+        ):
+            _client = await open_client(it)
             while await read_counter(it, "load_lines") < 2:
                 pass
             assert await read_counter(it, "delay_lines") == counted
@@ -339,10 +342,10 @@
 
 def test_sighup_changes_from_polling_to_a_pushed_list_and_back(tmp_path: Path) -> None:
     async def test() -> None:
-        patient = SETTINGS | {"rules": {"askWithin": 60_000.0}}
+        settings = SETTINGS | {"rules": {"askWithin": 60_000.0}}
         async with (
-            GateServer() as one, Discovery(one) as asked, Discovery(one) as agent,
-            start_relay(tmp_path, asked, settings=patient) as it,
+            GateServer() as one, Discovery(one) as polled, Discovery(one) as agent,
+            start_relay(tmp_path, polled, settings=settings) as it,
         ):  # fmt: skip
             config = json.loads((tmp_path / "config.json").read_text())
             config |= {"discovery": agent.address, "settings": config["settings"] | {"discovery": "pushed"}}
@@ -408,17 +411,19 @@
     run(test)
 
 
-@pytest.mark.parametrize(("last", "count"), [(b"BYE\r\n", "ok"), (b"MOVE\r\n", "cancelled"), (b"", "reset")])
-def test_end_of_the_server_is_forwarded(tmp_path: Path, last: bytes, count: str) -> None:
+@pytest.mark.parametrize(
+    ("last_line", "count"), [(b"BYE\r\n", "ok"), (b"MOVE\r\n", "cancelled"), (b"", "reset")]
+)
+def test_end_of_the_server_is_forwarded(tmp_path: Path, last_line: bytes, count: str) -> None:
     async def test() -> None:
         server = GateServer()
         async with relay_with_servers(tmp_path, server) as (it, _):
             reader, _ = await open_client(it)
             assert await read_line(reader) == b"UP r1\r\n"
-            server.writers[-1].write(last)
+            server.writers[-1].write(last_line)
             server.writers[-1].close()
             async with asyncio.timeout(1):
-                assert await reader.read(-1) == last
+                assert await reader.read(-1) == last_line
             assert (await it.counters())[f"ended_{count}"] == 1
 
     run(test)
@@ -452,16 +457,18 @@
     run(test)
 
 
-@pytest.mark.parametrize(("relays", "came", "least"), [(2, b"", 0.9), (2, b",again=1", 1.2), (1, b"", 1.2)])
+@pytest.mark.parametrize(
+    ("relays", "extra_values", "min_seconds"), [(2, b"", 0.9), (2, b",again=1", 1.2), (1, b"", 1.2)]
+)
 def test_sigterm_answers_what_still_arrives_and_migrates_established_clients_late(
-    tmp_path: Path, relays: int, came: bytes, least: float
+    tmp_path: Path, relays: int, extra_values: bytes, min_seconds: float
 ) -> None:
     """Guards against migrating clients while no other relay is up: later if clients just reconnected here."""
 
     async def test() -> None:
         server = GateServer()
         async with relay_with_servers(tmp_path, server, balancers=relays) as (it, _):
-            clients = [await open_client(it, b"c=checkin,t=acme,d=1000" + came) for _ in range(20)]
+            clients = [await open_client(it, b"c=checkin,t=acme,d=1000" + extra_values) for _ in range(20)]
             assert all([await read_line(reader) == b"UP r1\r\n" for reader, _ in clients])
             began = asyncio.get_running_loop().time()
             it.process.terminate()
@@ -471,7 +478,7 @@
             # A relay that restarted before this one may not be up yet: clients are served here until late.
             ends = [asyncio.ensure_future(r.read(-1)) for r, _ in clients]
             await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
-            assert asyncio.get_running_loop().time() - began > least
+            assert asyncio.get_running_loop().time() - began > min_seconds
             assert await asyncio.gather(*ends) == [b"MOVE\r\n"] * 20
             assert await it.process.wait() == 0
             assert asyncio.get_running_loop().time() - began < 1.9  # deadline 1.2 s and 0.7 s
@@ -521,9 +528,8 @@
             for _ in range(2):  # also after its owner has disconnected
                 reader, writer = await it.open()
                 writer.write(copied[:30])
-                writer.write(
-                    copied[30:] + b"M 1\r\nM 2\r\n"
-                )  # valid: the line in pieces, with more lines after it
+                # Valid: the line in pieces, with more lines after it.
+                writer.write(copied[30:] + b"M 1\r\nM 2\r\n")
                 if server.opened:
                     assert await reader.read(-1) == b"ERR\r\n"
                     break
@@ -532,9 +538,9 @@
                     b"re M 1\r\n",
                     b"re M 2\r\n",
                 ]
-                thief, other = await it.open()
-                other.write(copied)
-                assert await thief.read(-1) == b"ERR\r\n"
+                copy_reader, copy_writer = await it.open()
+                copy_writer.write(copied)
+                assert await copy_reader.read(-1) == b"ERR\r\n"
                 writer.write(b"M 3\r\n")
                 assert await read_line(reader) == b"re M 3\r\n"
                 writer.close()
@@ -654,13 +660,13 @@
             clients = [await open_client(it, b"c=checkin,t=acme,d=1000") for _ in range(30)]
             assert all([await read_line(reader) == b"UP r1\r\n" for reader, _ in clients])
             await wait_until(lambda: one.health_checks and two.health_checks)
-            moved = [asyncio.ensure_future(r.read(-1)) for r, _ in clients]
+            received = [asyncio.ensure_future(r.read(-1)) for r, _ in clients]
             one.pong_delay_seconds = 0.4
             await wait_until(lambda: one.ended)
-            await wait_until(lambda: any(m.done() for m in moved))
-            assert {m.result() for m in moved if m.done()} == {b"MOVE\r\n"}
+            await wait_until(lambda: any(m.done() for m in received))
+            assert {m.result() for m in received if m.done()} == {b"MOVE\r\n"}
             assert not two.ended
-            for m in moved:
+            for m in received:
                 m.cancel()
 
     run(test)
@@ -678,8 +684,8 @@
             old.version, new.version = 41, 3
             async with start_relay(tmp_path, old, BALANCER_DISCOVERY=old.address) as it:
                 await wait_until(lambda: old.requested_versions[-1:] == [41])
-                standing, writer = await open_client(it)
-                assert await read_line(standing) == b"UP r1\r\n"
+                established, writer = await open_client(it)
+                assert await read_line(established) == b"UP r1\r\n"
                 old.broken = True
                 old.set_state(one, "up")
                 await wait_until(lambda: old.calls >= 4)  # so the back-off has grown
@@ -690,18 +696,18 @@
                     rewrite_discovery(tmp_path, discovery.address)
                     began = asyncio.get_running_loop().time()
                     it.process.send_signal(signal.SIGHUP)
-                    asked, wanted = discovery.requested_versions, [discovery.version]
-                    await wait_until(lambda asked=asked, wanted=wanted: asked[-1:] == wanted)  # type: ignore[misc]
+                    polls, newest = discovery.requested_versions, [discovery.version]
+                    await wait_until(lambda polls=polls, newest=newest: polls[-1:] == newest)  # type: ignore[misc]
                     assert asyncio.get_running_loop().time() - began < 1
                     assert discovery.requested_versions[0] is None  # first the whole list, then the watch
                     reader, _ = await open_client(it)
                     assert await read_line(reader) == b"UP r1\r\n"
                     assert len(server.opened) == 1 + (server is one)
                 writer.write(b"still here\r\n")
-                assert await read_line(standing) == b"re still here\r\n"
+                assert await read_line(established) == b"re still here\r\n"
                 it.process.send_signal(signal.SIGHUP)
                 it.process.terminate()
-                assert await standing.read(-1) == b"MOVE\r\n"
+                assert await established.read(-1) == b"MOVE\r\n"
                 assert await it.process.wait() == 0
 
     run(test)
@@ -722,16 +728,15 @@
     async def test() -> None:
         slow = GateServer(first_answer=b"UP r1\r\nLOAD 46000\r\n")  # its load comes with UP
         async with relay_with_servers(tmp_path, slow) as (it, _):
-            kept: list[tuple[Reader, Writer]] = []
-            while len(kept) < 41:  # migrated with probability 0.44 each; a busy machine may answer BUSY
+            accepted: list[tuple[Reader, Writer]] = []
+            while len(accepted) < 41:  # migrated with probability 0.44 each; a busy machine may answer BUSY
                 client = await open_client(it)
                 if await read_line(client[0]) == b"UP r1\r\n":
-                    kept.append(client)
-            for reader, _ in kept:
+                    accepted.append(client)
+            for reader, _ in accepted:
                 assert await read_line(reader) == b"LOAD 46000\r\n"
-            clients = [
-                reader for reader, _ in kept[:-1]
-            ]  # the delay is reported on the last client's connection
+            # The delay is reported on the last client's connection.
+            clients = [reader for reader, _ in accepted[:-1]]
             slow.writers[-1].write(b"LOAD 462.190\r\n")
             lines = [asyncio.create_task(read_line(reader)) for reader in clients]
             done, _ = await asyncio.wait(lines, return_when=asyncio.FIRST_COMPLETED)
@@ -748,9 +753,8 @@
     load, delay = MeasurementKind.LOAD, MeasurementKind.MESSAGE_DELAY
     assert notes.classify("s", 1, 46_000.0, 0.0) is load
     assert notes.classify("s", 1, 17.2, 0.0) is delay
-    assert (
-        notes.classify("s", 2, 4_100.0, 1_000.0) is load
-    )  # a delay is known, but cannot have grown this much
+    # A delay is known, but cannot have grown this much.
+    assert notes.classify("s", 2, 4_100.0, 1_000.0) is load
     assert notes.classify("s", 2, 1_900.0, 1_000.0) is delay
     assert notes.classify("t", 3, 2_100.0, 1_000.0) is load
     assert notes.classify("t", 4, 2_200.0, 1_500.0) is load  # on another connection
@@ -763,23 +767,19 @@
 def test_load_of_a_light_connection_is_no_delay() -> None:
     """Guards against taking loads under 1,000 us/s for delays: each migrated half of a relay's clients.
 
-    Many are as low where loads differ by a factor of a hundred.
+    Where loads differ by a factor of a hundred, many connections are below that.
     """
     notes = LoadNoteClassifier()
     load, delay = MeasurementKind.LOAD, MeasurementKind.MESSAGE_DELAY
     assert notes.classify("s", 1, 622.0, 0.0, last_load=None, age_ms=30.0) is load  # sent with UP
     assert notes.classify("s", 1, 139.0, 4_000.0, last_load=622.0, age_ms=4_030.0) is load
-    assert (
-        notes.classify("s", 2, 17.0, 4_000.0, last_load=622.0, age_ms=9_000.0) is delay
-    )  # a load does not fall this far between two reports
-    assert (
-        notes.classify("s", 2, 500.0, 5_000.0, last_load=622.0, age_ms=9_000.0) is delay
-    )  # its server has a known delay
+    # A load does not fall this far between two reports.
+    assert notes.classify("s", 2, 17.0, 4_000.0, last_load=622.0, age_ms=9_000.0) is delay
+    # Its server has a known delay.
+    assert notes.classify("s", 2, 500.0, 5_000.0, last_load=622.0, age_ms=9_000.0) is delay
     assert notes.classify("t", 3, 622.0, 0.0, last_load=46_000.0, age_ms=9_000.0) is delay
-    assert (
-        notes.classify("t", 4, 622.0, 9_000.0, last_load=None, age_ms=9_000.0) is delay
-    )  # its first line is too late to be the load after UP
+    # Its first line is too late to be the load after UP.
+    assert notes.classify("t", 4, 622.0, 9_000.0, last_load=None, age_ms=9_000.0) is delay
     assert notes.classify("u", 5, 1_900.0, 0.0, last_load=1_500.0, age_ms=900.0) is load
-    assert (
-        notes.classify("u", 5, 2_900.0, 1_000.0, last_load=1_900.0, age_ms=1_900.0) is delay
-    )  # a load does not change every second
+    # A load does not change every second.
+    assert notes.classify("u", 5, 2_900.0, 1_000.0, last_load=1_900.0, age_ms=1_900.0) is delay
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -200,9 +200,8 @@
         line_relay(folder, discovery) as it,
     ):
         failed = await exchange_lines(it, ask % 4 + b"\r\n")
-        transcripts["failed"] = [
-            re.sub(r"BUSY \d+", "BUSY WAIT", line) for line in failed
-        ]  # the value is random
+        # The value is random.
+        transcripts["failed"] = [re.sub(r"BUSY \d+", "BUSY WAIT", line) for line in failed]
     async with GateServer() as gate, Discovery(gate) as discovery, line_relay(folder, discovery) as it:
         reader, writer = await it.open()
         writer.write(ask % 5 + b"\r\n")
--- a/violetdoor/fronts/line/fields.py
+++ b/violetdoor/fronts/line/fields.py
@@ -27,9 +27,8 @@
 MAX_LOAD = 1e6  # ms of work per second, the limit of parse_opening
 MAX_TIME_LEFT_US = 1_000_000_000_000_000
 NO_ADDRESS = bytes(4)  # used where the peer's address cannot be parsed
-NAMED_VALUES = frozenset(
-    {"c", "t", "d", "g", "h", "r", "again", "at"}
-)  # with a field of their own, or not for rules
+# Names with a field of their own, or not meant for rules.
+NAMED_VALUES = frozenset({"c", "t", "d", "g", "h", "r", "again", "at"})
 MIN_VALUES_WITH_EXTRA = 3  # two values are the class and the time left
 
 SCHEMA = Schema(
--- a/violetdoor/fronts/line/opening.py
+++ b/violetdoor/fronts/line/opening.py
@@ -105,8 +105,7 @@
 ) -> Opening:
     """Parse an OPEN line; raise InvalidOpeningError.
 
-    With `is_classified_by_rules`, the names of class and tenant are not checked, and the line's values are
-    kept for the rules.
+    With `is_classified_by_rules`, class and tenant are not checked, and the values are kept for the rules.
     """
     raw = bytes(line)
     found = LINE.fullmatch(raw)
--- a/violetdoor/fronts/line/session.py
+++ b/violetdoor/fronts/line/session.py
@@ -33,7 +33,7 @@
 
 log = logging.getLogger("violetdoor.line")
 
-FIRST_LINE_TIMEOUT_SECONDS = 2.0  # for a new connection's first line; clients must get an end within 3 s
+FIRST_LINE_TIMEOUT_SECONDS = 2.0  # for a new connection's first line; it must be answered within 3 s
 IDLE_TIMEOUT_SECONDS = 60.0  # for the next line after a PING of the front
 ADOPTION_TIMEOUT_SECONDS = 35.0  # to re-establish a connection from before this run
 ADOPTION_RETRY_DELAY_SECONDS = 0.3
--- a/violetdoor/fronts/line/stream.py
+++ b/violetdoor/fronts/line/stream.py
@@ -23,10 +23,8 @@
 LOAD_PREFIX = b"LOAD "
 UP_PREFIX = b"UP "
 CLOSE_COMMANDS = (b"BYE", b"MOVE")  # sent by a server before it closes in order
-RESULT_BY_CLOSE_COMMAND = {
-    "BYE": AttemptResult.OK,
-    "MOVE": AttemptResult.CANCELLED,
-}  # otherwise a reset
+# A server that sends neither before it closes counts as a reset.
+RESULT_BY_CLOSE_COMMAND = {"BYE": AttemptResult.OK, "MOVE": AttemptResult.CANCELLED}
 
 
 class EstablishedStream:
--- a/violetdoor/fronts/nats/client.py
+++ b/violetdoor/fronts/nats/client.py
@@ -30,7 +30,7 @@
 T = TypeVar("T")
 
 FIRST_OPERATION_TIMEOUT_SECONDS = 0.05  # how long match rules wait for a client's first operation
-MAX_PREFETCHED_FRAMES = 8  # frames read while waiting for it
+MAX_PREFETCHED_FRAMES = 8  # frames read while waiting for the first operation
 FIRST_OPERATIONS = ("SUB", "PUB", "HPUB")  # operations that match rules can use
 MAX_NAME_CHARACTERS = 256  # of the user and name that identify a client to the admission gate
 FINAL_WRITE_SECONDS = 0.5  # for writing queued data before the connection is closed
@@ -74,9 +74,8 @@
         self._options = options
         self._has_read_connect = False  # the first frame was a CONNECT and is already applied
         self._prefetched_frames: list[Frame] = []  # read for the rules, not executed yet
-        self._pending_read: asyncio.Future[Frame | None] | None = (
-            None  # the read that did not end in time for the rules
-        )
+        # The read of a frame that did not arrive in time for the rules.
+        self._pending_read: asyncio.Future[Frame | None] | None = None
 
     @property
     def request_class(self) -> str:
--- a/violetdoor/fronts/nats/frames.py
+++ b/violetdoor/fronts/nats/frames.py
@@ -104,8 +104,8 @@
     def _parse(self, body_start: int) -> Frame | int:
         """Return the frame whose line ends at `body_start`, or its length in bytes if it is incomplete."""
         line = bytes(self.buffer[self.start : body_start]).rstrip(LINE_END)
-        word, _, rest = line.strip(b" \t").replace(b"\t", b" ").partition(b" ")
-        operation = word.decode("ascii", "replace").upper()
+        operation_text, _, rest = line.strip(b" \t").replace(b"\t", b" ").partition(b" ")
+        operation = operation_text.decode("ascii", "replace").upper()
         if operation not in self.operations:
             raise ProtocolError(UNKNOWN_OPERATION)
         arguments = _split_arguments(operation, rest)
--- a/violetdoor/fronts/nats/front.py
+++ b/violetdoor/fronts/nats/front.py
@@ -54,7 +54,7 @@
         self.gate = host.gate
         self.options = options
         self.deadlines_ms: Mapping[str, float] = config.deadlines
-        self.tenants = options.tenants  # with the deadlines, the only options that a reload changes
+        self.tenants = options.tenants  # a reload changes only these and the deadlines
         self.name = config.name
         self.server_id = os.urandom(SERVER_ID_BYTES).hex().upper()
         self.is_shutting_down = False
