--- a/tests/standins.py
+++ b/tests/standins.py
@@ -159,7 +159,7 @@
     async def serve(self, reader: Reader, writer: Writer) -> None:
         if not self.is_unresponsive:
             writer.write(b'INFO {"server_id":"S","headers":true,"max_payload":1048576}\r\n')
-        mine = self.subs.setdefault(writer, {})
+        subscriptions = self.subs.setdefault(writer, {})
         try:
             while line := await reader.readline():
                 op, *args = line.split() or [b""]
@@ -167,24 +167,24 @@
                 if op in (b"PUB", b"HPUB"):
                     body = (await reader.readexactly(int(args[-1]) + 2))[:-2]
                 if not self.is_unresponsive:
-                    self.operate(op, args, body, line, writer, mine)
+                    self.operate(op, args, body, line, writer, subscriptions)
         finally:
             del self.subs[writer]
 
     def operate(self, op: bytes, args: list[bytes], body: bytes, line: bytes, writer: Writer,
-                mine: dict[bytes, list[Any]]) -> None:  # fmt: skip
+                subscriptions: dict[bytes, list[Any]]) -> None:  # fmt: skip
         if op == b"CONNECT":
             self.connects.append(json.loads(line[8:]))
             writer.write(self.refusal)
         elif op == b"PING" and not self.withholds_pongs:
             writer.write(b"PONG\r\n")
         elif op == b"SUB":
-            mine[args[-1]] = [args[0], args[1] if len(args) == 3 else b"", 0, 0]
-        elif op == b"UNSUB" and args[0] in mine:
-            if len(args) == 2 and int(args[1]) > mine[args[0]][3]:
-                mine[args[0]][2] = int(args[1])
+            subscriptions[args[-1]] = [args[0], args[1] if len(args) == 3 else b"", 0, 0]
+        elif op == b"UNSUB" and args[0] in subscriptions:
+            if len(args) == 2 and int(args[1]) > subscriptions[args[0]][3]:
+                subscriptions[args[0]][2] = int(args[1])
             else:
-                del mine[args[0]]
+                del subscriptions[args[0]]
         elif op in (b"PUB", b"HPUB"):
             head = int(args[-2]) if op == b"HPUB" else 0
             reply = args[1] if len(args) == (4 if head else 3) else b""
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -256,13 +256,13 @@
 
     def operate(
         self, op: bytes, args: list[bytes], body: bytes, line: bytes, writer: Writer,
-        mine: dict[bytes, list[Any]],
+        subscriptions: dict[bytes, list[Any]],
     ) -> None:  # fmt: skip
         if op == b"PING":
             self.pings.add(line.decode())
         else:
             self.got.append((line + body + b"\r\n" * (op in (b"PUB", b"HPUB"))).decode())
-        super().operate(op, args, body, line, writer, mine)
+        super().operate(op, args, body, line, writer, subscriptions)
 
 
 def masked_info(text: str) -> str:
--- a/violetdoor/fronts/nats/session.py
+++ b/violetdoor/fronts/nats/session.py
@@ -202,11 +202,11 @@
             return None
         if receiving.done():
             counts["nats_broken"] += 1
-            log.info("server %s disconnected; moving its client to another server", handle.server)
+            log.info("server %s disconnected", handle.server)
             return AttemptResult.RESET
         if watching.done():
             counts["nats_silent"] += 1
-            log.info("server %s is unresponsive; moving its client to another server", handle.server)
+            log.info("server %s is unresponsive", handle.server)
             return AttemptResult.RESET
         fence = self.binding.end_subscriptions(connection)
         timeout = self.front.options.silence_timeout
