--- a/violetdoor/fronts/nats/client_operations.py
+++ b/violetdoor/fronts/nats/client_operations.py
@@ -63,7 +63,7 @@
             self._counts["nats_malformed"] += 1
             end = SessionEnd(str(err))
         except OSError as err:
-            log.info("client connection failed: %s; ending its session", err)
+            log.info("client connection broke: %s; ending its session", err)
         except Exception:
             self._counts["faults"] += 1
             log.exception("internal error while executing a client's operation; ending its session")
