--- a/benchmarks/capacity/fleet_slopes.py
+++ b/benchmarks/capacity/fleet_slopes.py
@@ -51,9 +51,9 @@
 
 def spent_in(world: hosts.CountingWorld, seconds: float) -> Spent:
     """Let time pass; what all members spent in it."""
-    before = sum(world.bytes.values()), world.datagram_bytes_in, world.call_bytes, world.datagrams_out
+    before = sum(world.sent_bytes.values()), world.datagram_bytes_in, world.call_bytes, world.datagrams_out
     processor = hosts.processor(world, seconds)
-    out, received = sum(world.bytes.values()) - before[0], world.datagram_bytes_in - before[1]
+    out, received = sum(world.sent_bytes.values()) - before[0], world.datagram_bytes_in - before[1]
     calls = 2 * (world.call_bytes - before[2])  # what one end sends the other receives
     return Spent(out + received, calls, 2 * (world.datagrams_out - before[3]), processor)
 
@@ -81,7 +81,7 @@
     each = size * looked
     return Cost(
         size, rest.datagrams / each, rest.calls / each, rest.packets / each, rest.processor / each * 1e6,
-        world.longest, *restart, *death,
+        world.longest_datagram, *restart, *death,
     )  # fmt: skip
 
 
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -139,9 +139,9 @@
 def virtual(count: int) -> Cost:
     """So many members in virtual time, as the slopes have them."""
     world, seconds = hosts.settled_fleet(count), 60.0
-    before = sum(world.bytes.values()) + world.datagram_bytes_in + 2 * world.call_bytes
+    before = sum(world.sent_bytes.values()) + world.datagram_bytes_in + 2 * world.call_bytes
     spent = hosts.processor(world, seconds)
-    volume = sum(world.bytes.values()) + world.datagram_bytes_in + 2 * world.call_bytes - before
+    volume = sum(world.sent_bytes.values()) + world.datagram_bytes_in + 2 * world.call_bytes - before
     return Cost(volume / count / seconds, spent / count / seconds, 0.0)
 
 
--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from random import Random
 
-from violetdoor.faults.virtual import UNIX, Host, World
+from violetdoor.faults.virtual import START_UNIX_MS, Host, World
 from violetdoor.fleet import messages as m
 from violetdoor.fleet.authentication import TAG_BYTES
 from violetdoor.fleet.context import NodeConfig
@@ -48,24 +48,26 @@
         self.call_bytes = 0  # out and in together, of both ends once
         self.call_sizes: Counter[str] = Counter()
 
-    def _send(self, host: Host, address: Address, packet: m.Packet) -> None:
-        before = self.bytes[host.name]
-        super()._send(host, address, packet)
+    def _send_datagram(self, host: Host, address: Address, packet: m.Packet) -> None:
+        before = self.sent_bytes[host.name]
+        super()._send_datagram(host, address, packet)
         self.datagrams_out += 1
         if address in self.by_address and self.by_address[address].node is not None:
-            self.datagram_bytes_in += self.bytes[host.name] - before
+            self.datagram_bytes_in += self.sent_bytes[host.name] - before
 
-    def _call(self, host: Host, address: Address, number: int, request: m.Request, within: float) -> None:
+    def _send_request(
+        self, host: Host, address: Address, number: int, request: m.Request, within: float
+    ) -> None:
         self.calls += 1
         self._count_call(request, CALL_FIXED)
-        super()._call(host, address, number, request, within)
+        super()._send_request(host, address, number, request, within)
 
-    def _answered(
-        self, host: Host, life: int, number: int, answer: m.Response | None, refused: bool = False
+    def _deliver_response(
+        self, host: Host, generation: int, number: int, answer: m.Response | None, refused: bool = False
     ) -> None:
         if answer is not None:
             self._count_call(answer, 0)
-        super()._answered(host, life, number, answer, refused)
+        super()._deliver_response(host, generation, number, answer, refused)
 
     def _count_call(self, message: m.Request | m.Response, fixed: int) -> None:
         size = call_bytes(len(m.encode(message))) + fixed
@@ -88,16 +90,16 @@
     seeds = tuple(address for _, address in places[:3])
     for peer in peers:
         host = world.host(peer.name)
-        host.life += 1
+        host.generation += 1
         plan = NodeConfig(peer.name, *host.address, peer.zone, seeds, founders)
-        node = Node(plan, Random(world.random.getrandbits(64)), world.clock(host), lambda: UNIX)
+        node = Node(plan, Random(world.random.getrandbits(64)), world.clock(host), lambda: START_UNIX_MS)
         handover = handover_state_decoder.decode(
             m.encode(_handover(peer, view, world.clock(host)))
         )  # an own copy of the view
         node.import_state(handover, world.clock(host))
         host.node = node
         world.carry_out_actions(host)
-        world._push(world.now + world.random.random() * 0.25, world._wake, host, host.life)
+        world._schedule(world.now + world.random.random() * 0.25, world._wake_node, host, host.generation)
     if not world.run(SETTLE_WITHIN, lambda: _live(world, everybody[-1]) and world.settled(everybody)):
         raise RuntimeError(f"{size} members that take up a view do not settle")
     return world
--- a/benchmarks/fleet_scale/virtual.py
+++ b/benchmarks/fleet_scale/virtual.py
@@ -63,14 +63,14 @@
     for region in regions:
         for number in range(relays):
             world.start_relay(f"{region}-relay-{number:02d}", region, f"{region}-zone-{number % 2}")
-    if world.until(lambda: all(_in_service(world, region) for region in regions), BEGIN_WITHIN) is None:
+    if world.run_until(lambda: all(_in_service(world, region) for region in regions), BEGIN_WITHIN) is None:
         raise WorldFaultError(f"not all virtual relays are in service within {BEGIN_WITHIN:g} s")
     world.run(SETTLE)
     return world
 
 
 def _in_service(world: ControlWorld, region: str) -> bool:
-    return world.agreed(region, [relay.name for relay in world.running(region)])
+    return world.relays_agree(region, [relay.name for relay in world.running(region)])
 
 
 def _members(relay: Relay) -> frozenset[RelayKey]:
@@ -89,7 +89,7 @@
 def under_loss(seed: int, seconds: float) -> LossFigures:
     """Every hundredth segment and datagram is lost, and nobody dies."""
     world = build(seed, RELAYS_UNDER_LOSS)
-    world.default.loss = LOSS
+    world.default_link.loss = LOSS
     begun, removed, lost = world.now, 0, set[str]()
     known = {relay.name: _members(relay) for relay in world.running()}
     while world.now - begun < seconds:
@@ -121,7 +121,7 @@
             world.kill_relay(victims.pop())  # so that the rosters go on, on both sides
     cut_for = world.now - begun
     world.heal()
-    agreed_after = world.until(lambda: _one_roster(world, regions), AGREE_WITHIN)
+    agreed_after = world.run_until(lambda: _one_roster(world, regions), AGREE_WITHIN)
     owners.look()
     two = measures.keys_with_two_owners(owners.intervals)
     return CutFigures(
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -138,7 +138,7 @@
     """A slice of an hour of 200 relays under loss: members that were taken out, and members gone stale."""
     loss, seed, seconds = job
     world = fleet(200, seed)
-    world.default.loss = loss
+    world.default_link.loss = loss
     before = len(world.events)
     world.run(seconds)
     kinds = [what for _, _, what, _ in world.events[before:]]
@@ -148,9 +148,9 @@
 def traffic(size: int) -> tuple[int, float, float]:
     """Bytes a second that a member sends in calm, mean and most; headers of IP and UDP in them."""
     world = fleet(size, 1, encode=True)
-    world.bytes.clear()
+    world.sent_bytes.clear()
     world.run(20.0)
-    rates = [sent / 20.0 for sent in world.bytes.values()]
+    rates = [sent / 20.0 for sent in world.sent_bytes.values()]
     return size, sum(rates) / len(rates), max(rates)
 
 
@@ -164,11 +164,11 @@
     cpu: list[float]
     memory: list[int]
 
-    async def _time_line(self) -> None:
+    async def _play_timeline(self) -> None:
         before = {n: _cpu(one.process.pid) for n, one in self.running.items()}
         began = self.loop.time()
         sampling = self.loop.create_task(self._sample(before, began))
-        await super()._time_line()
+        await super()._play_timeline()
         await sampling
 
     async def _sample(self, before: dict[str, float], began: float) -> None:
@@ -246,7 +246,7 @@
         elif row.kind == "answer" and row.values["id"] in opened:
             served += row.values["word"] == "UP"
             longest = max(longest, row.at - opened[row.values["id"]])
-    return served, sum(1 for wrong in checks.answers(history)), longest
+    return served, sum(1 for wrong in checks.check_answers(history)), longest
 
 
 def spread(values: Iterable[float]) -> str:
--- a/examples/control.py
+++ b/examples/control.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from violetdoor.faults.actors import Gate
+from violetdoor.faults.actors import GateServer
 
 MACHINES = {"c1": "127.0.0.1", "c2": "127.0.0.2", "c3": "127.0.0.3"}
 RELAYS = {"r1": "127.0.0.1", "r2": "127.0.0.2", "r3": "127.0.0.3"}
@@ -128,7 +128,7 @@
 
 async def main() -> None:
     """Serve until the input ends."""
-    gates = [Gate(f"gate-{n}", "127.0.0.1", lambda *_, **__: None) for n in (1, 2)]
+    gates = [GateServer(f"gate-{n}", "127.0.0.1", lambda *_, **__: None) for n in (1, 2)]
     for gate in gates:
         await gate.start()
     with tempfile.TemporaryDirectory() as folder:
--- a/examples/fleet.py
+++ b/examples/fleet.py
@@ -13,7 +13,7 @@
 import tempfile
 from pathlib import Path
 
-from violetdoor.faults.actors import Gate
+from violetdoor.faults.actors import GateServer
 
 NAMES = {"1": "relay-1", "2": "relay-2", "3": "relay-3"}
 FLEET, CLIENTS, CONSOLE = 7946, 8081, 8082  # ports, at 127.0.0.1 to 127.0.0.3
@@ -78,7 +78,7 @@
 
 async def main() -> None:
     """Serve until the input ends."""
-    gates = [Gate(f"gate-{n}", "127.0.0.1", lambda *_, **__: None) for n in (1, 2)]
+    gates = [GateServer(f"gate-{n}", "127.0.0.1", lambda *_, **__: None) for n in (1, 2)]
     for gate in gates:
         await gate.start()
     with tempfile.TemporaryDirectory() as folder:
--- a/tests/control_regions.py
+++ b/tests/control_regions.py
@@ -19,7 +19,7 @@
     for region in regions:
         for n in range(relays):
             world.start_relay(f"{region}-r{n}", region, f"{region}-z{n % 3}")
-    assert world.until(lambda: all(has_agreed(world, region) for region in regions), 30) is not None
+    assert world.run_until(lambda: all(has_agreed(world, region) for region in regions), 30) is not None
     world.run(8)
     return world
 
@@ -29,7 +29,7 @@
 
 
 def has_agreed(world: ControlWorld, region: str = "a") -> bool:
-    return world.agreed(region, running_names(world, region))
+    return world.relays_agree(region, running_names(world, region))
 
 
 def attachment_of(world: ControlWorld, name: str) -> Attachment:
--- a/tests/recorded/virtual_worlds.py
+++ b/tests/recorded/virtual_worlds.py
@@ -41,22 +41,22 @@
 @contextmanager
 def recording() -> Iterator[Carried]:
     """Take down all that worlds carry."""
-    carried, push, write = Carried(), World._push, ControlWorld._write
+    carried, schedule, send = Carried(), World._schedule, ControlWorld._send_on_connection
 
-    def recorded_push(world: World, at: float, what: Any, *values: Any) -> None:
+    def recorded_schedule(world: World, at: float, what: Any, *values: Any) -> None:
         for value in values:
             if isinstance(value, Struct):
                 carried.add(at, value)
-        push(world, at, what, *values)
+        schedule(world, at, what, *values)
 
-    def recorded_write(world: ControlWorld, connection: Any, way: Any, message: Any) -> None:
+    def recorded_send(world: ControlWorld, connection: Any, way: Any, message: Any) -> None:
         if isinstance(message, Struct):
             carried.add(world.now, message)
-        write(world, connection, way, message)
+        send(world, connection, way, message)
 
     with (
-        mock.patch.object(World, "_push", recorded_push),
-        mock.patch.object(ControlWorld, "_write", recorded_write),
+        mock.patch.object(World, "_schedule", recorded_schedule),
+        mock.patch.object(ControlWorld, "_send_on_connection", recorded_send),
     ):
         yield carried
 
@@ -103,7 +103,7 @@
     for number in range(3):
         world.start_relay(f"r{number}", "a", f"z{number}")
     world.run(20.0)
-    world.put("r1", "ban:server-1", 0.5)
+    world.set_shared_value("r1", "ban:server-1", 0.5)
     world.kill_relay("r2")
     world.run(3.0)
     relay = world.relays["r1"]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -44,10 +44,10 @@
     assert owner is not None
     world.kill_relay(owner, silent)
     checks = ControlChecks(world, 1, KEYS)
-    world.watch = checks.look
-    assert (elapsed_seconds := world.until(lambda: has_agreed(world), within)) is not None
+    world.after_step = checks.check_world
+    assert (elapsed_seconds := world.run_until(lambda: has_agreed(world), within)) is not None
     assert elapsed_seconds > 1.9
-    assert world.until(lambda: any(
+    assert world.run_until(lambda: any(
         attachment_of(world, r.name).owns("k1", world.relay_clock(r)) for r in world.running()
     ), 8.0) is not None  # fmt: skip
     assert checks.broken is None
@@ -56,8 +56,8 @@
 def test_a_relay_that_leaves_is_out_of_the_roster_within_a_second() -> None:
     world = settled_world(8, regions=("a", "b"))
     world.leave("a-r3")
-    assert world.until(lambda: has_agreed(world), 1.0) is not None
-    assert world.until(lambda: all_relays_count(world, "a", 7, by="b"), 4.0) is not None
+    assert world.run_until(lambda: has_agreed(world), 1.0) is not None
+    assert world.run_until(lambda: all_relays_count(world, "a", 7, by="b"), 4.0) is not None
 
 
 def test_a_failed_rack_is_removed_in_few_versions_and_no_other_relay_is() -> None:
@@ -65,7 +65,7 @@
     version = attachment_of(world, "a-r59").roster.version  # type: ignore[union-attr]
     for n in range(40):
         world.kill_relay(f"a-r{n}", silent=True)
-    assert world.until(lambda: has_agreed(world), 6.0) is not None
+    assert world.run_until(lambda: has_agreed(world), 6.0) is not None
     after = attachment_of(world, "a-r59").roster.version  # type: ignore[union-attr]
     assert 1 <= after.index - version.index <= 30
     assert not [e for r in world.running() for e in r.events if e[1] == "attach.lease_expired"]
@@ -76,7 +76,7 @@
     before = attachment_of(world, "a-r2").relay
     world.kill_relay("a-r2")
     world.start_relay("a-r2", "a", "a-z2")
-    assert world.until(
+    assert world.run_until(
         lambda: all(
             attachment_of(world, name).roster.members["a-r2"].instance != before.instance  # type: ignore[union-attr]
             for name in running_names(world)
@@ -84,7 +84,7 @@
         3.0,
     ) is not None  # fmt: skip
     checks = ControlChecks(world, 1, KEYS)
-    world.watch = checks.look
+    world.after_step = checks.check_world
     world.run(10)
     assert checks.broken is None
     assert all_may_act(world)
@@ -110,7 +110,7 @@
     leader = leader_of(world)
     victim = leader if is_leader else next(name for name in world.groups["a"] if name != leader)
     checks = ControlChecks(world, 1, KEYS)
-    world.watch = checks.look
+    world.after_step = checks.check_world
     world.kill_control(victim, silent)
     started_at = world.now
     world.run(20)
@@ -122,7 +122,7 @@
     assert has_agreed(world)
     # A leader exists and writes rosters: a later change reaches all relays.
     world.kill_relay("a-r4")
-    assert world.until(lambda: has_agreed(world), 5.0) is not None
+    assert world.run_until(lambda: has_agreed(world), 5.0) is not None
 
 
 def test_relays_return_to_a_restarted_control_machine(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -138,13 +138,13 @@
     world.run(60)
     assert {name: len(machine_of(world, name).sessions.by_name) for name in world.groups["a"]} == before
     assert before[victim] > 0
-    assert not [e for e in world.reports if e[0] > started_at and e[2] == "control.members_changed"]
+    assert not [e for e in world.control_events if e[0] > started_at and e[2] == "control.members_changed"]
     assert not [
         e for r in world.running() for e in r.events if e[0] > started_at and e[1] == "attach.lease_expired"
     ]
     world.leave("a-r3")
     world.run(1)
-    assert [e[3]["departed"] for e in world.reports if e[2] == "control.members_changed"] == [["a-r3"]]
+    assert [e[3]["departed"] for e in world.control_events if e[2] == "control.members_changed"] == [["a-r3"]]
 
 
 def test_all_relays_hold_a_lease_again_soon_after_two_of_five_machines_fail() -> None:
@@ -153,20 +153,20 @@
     for name in [leader, next(n for n in world.groups["a"] if n != leader)]:
         world.kill_control(name, silent=True)
     world.run(6)
-    assert world.until(lambda: all_may_act(world), 6.0) is not None
-    assert world.until(lambda: has_agreed(world), 6.0) is not None
+    assert world.run_until(lambda: all_may_act(world), 6.0) is not None
+    assert world.run_until(lambda: has_agreed(world), 6.0) is not None
 
 
 def test_a_paused_leader_writes_no_roster_that_takes_effect() -> None:
     world = settled_world(8)
     leader = leader_of(world)
     checks = ControlChecks(world, 1, KEYS)
-    world.watch = checks.look
+    world.after_step = checks.check_world
     world.stop(leader)
     world.run(12)
     world.kill_relay("a-r5")
     world.run(0.5)
-    world.go_on(leader)
+    world.resume(leader)
     world.run(20)
     assert checks.broken is None
     assert has_agreed(world)
@@ -193,7 +193,7 @@
     for name in world.groups["a"]:
         world.start_control(name)
     # The group was founded again: its roster is a new history, in which no key is owned before it settles.
-    assert world.until(lambda: has_agreed(world), 20.0) is not None
+    assert world.run_until(lambda: has_agreed(world), 20.0) is not None
     assert attachment.roster is not None
     assert attachment.member_counts(world.relay_clock(relay)).total == 6
     assert not any(attachment.owns(key, world.relay_clock(relay)) for key in KEYS)
@@ -203,19 +203,19 @@
 
 def test_the_shared_map_reaches_all_relays_and_survives_a_restart_of_the_group() -> None:
     world = settled_world(4, regions=("a", "b"))
-    world.put("a-r0", "ban:s1", 7.0)
+    world.set_shared_value("a-r0", "ban:s1", 7.0)
 
     def known() -> bool:
         return all(attachment_of(world, r.name).shared_map.get("ban:s1") == 7.0 for r in world.running())
 
-    assert world.until(known, 1.0) is not None
+    assert world.run_until(known, 1.0) is not None
     for name in world.groups["a"]:
         world.kill_control(name)
     world.run(1)
-    world.put("a-r1", "ban:s1", None)
+    world.set_shared_value("a-r1", "ban:s1", None)
     for name in world.groups["a"]:
         world.start_control(name)
-    assert world.until(
+    assert world.run_until(
         lambda: all(attachment_of(world, r.name).shared_map.get("ban:s1") is None for r in world.running()), 20.0
     ) is not None  # fmt: skip
     assert all("ban:s1" in world.controls[name].host.node.map.entries for name in world.groups["a"])  # type: ignore[union-attr]
@@ -229,7 +229,7 @@
     ]
     world.set_links(inside, outside, cut=True)
     world.kill_relay("c-r1")
-    assert world.until(lambda: has_agreed(world, "c"), 5.0) is not None
+    assert world.run_until(lambda: has_agreed(world, "c"), 5.0) is not None
     world.kill_relay("a-r1")
     world.run(60)
     relay = world.relays["a-r0"]
@@ -240,7 +240,7 @@
     assert all_may_act(world, "c")
     assert all_may_act(world, "a")
     world.heal()
-    assert world.until(
+    assert world.run_until(
         lambda: all_relays_count(world, "c", 4, by="a") and all_relays_count(world, "a", 4, by="c") and all_relays_count(world, "c", 4, by="b"),
         10.0,
     ) is not None  # fmt: skip
@@ -250,7 +250,7 @@
     world = settled_world(5, regions=("a", "b", "c"))
     world.kill_relay("b-r2", silent=True)
     assert (
-        world.until(
+        world.run_until(
             lambda: all_relays_count(world, "b", 4, by="a") and all_relays_count(world, "b", 4, by="c"), 17.0
         )
         is not None
@@ -300,7 +300,7 @@
         msgspec.msgpack.decode(encode(state), type=AttachmentSnapshot), world.relay_clock(relay)
     )
     assert new.relay.instance == old.relay.instance
-    assert world.until(lambda: all_may_act(world), 2.0) is not None
+    assert world.run_until(lambda: all_may_act(world), 2.0) is not None
     world.run(3)
     assert has_agreed(world)
     assert new.counters["snapshots"] == 0
--- a/tests/test_control_search.py
+++ b/tests/test_control_search.py
@@ -122,17 +122,17 @@
 def test_relays_act_in_these_schedules() -> None:
     schedule = control_explore.Schedule(2)
     assert schedule.run() is None
-    assert schedule.checks.acted > 1000
+    assert schedule.checks.ownerships_seen > 1000
 
 
 def test_leases_outlive_their_end_beyond_the_bound_on_clock_drift() -> None:
     """The guarantees rest on that bound, so the search finds a violation beyond it."""
-    assert control_explore.search(SEEDS, RELAYS_PAUSE, assumed=False) is not None
+    assert control_explore.search(SEEDS, RELAYS_PAUSE, bounded_drift=False) is not None
 
 
 def test_a_schedule_is_the_same_each_time() -> None:
     first, again = control_explore.Schedule(7), control_explore.Schedule(7)
     first.run()
     again.run()
-    assert first.world.reports == again.world.reports
-    assert first.checks.acted == again.checks.acted
+    assert first.world.control_events == again.world.control_events
+    assert first.checks.ownerships_seen == again.checks.ownerships_seen
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -18,7 +18,7 @@
 from violetdoor.faults import checks, rig
 from violetdoor.faults.history import History
 from violetdoor.faults.links import Links
-from violetdoor.faults.scenario import drawn, read, written
+from violetdoor.faults.scenario import random_scenario, read_scenario, scenario_to_toml
 from violetdoor.fleet.lease import LEASE_EXPIRY_SECONDS
 from violetdoor.fleet.state_file import SLOT_BYTES, StateFile, StateFileError
 from violetdoor.fleet.stored_state import DurableState
@@ -33,14 +33,16 @@
 @pytest.mark.parametrize("names", SHORT)
 def test_scenarios_hold(names: tuple[str, ...]) -> None:
     async def test() -> None:
-        histories = await asyncio.gather(*(rig.play(read(SCENARIOS / f"{name}.toml")) for name in names))
+        histories = await asyncio.gather(
+            *(rig.run_scenario(read_scenario(SCENARIOS / f"{name}.toml")) for name in names)
+        )
         for name, history in zip(names, histories, strict=True):
             wrongs = checks.run(history)
             tail = "\n".join(map(str, checks.shortest_tail(history, wrongs[0]).rows)) if wrongs else ""
             assert not wrongs, f"{name}: {wrongs[0]}\n{tail}"
-            errors = [str(row) for row in history.of("error", "died")]
+            errors = [str(row) for row in history.of_kinds("error", "died")]
             assert not errors, f"{name}: {errors}"
-            served = [row for row in history.of("answer") if row.values["word"] == "UP"]
+            served = [row for row in history.of_kinds("answer") if row.values["word"] == "UP"]
             assert len(served) > 20
 
     asyncio.run(test())
@@ -49,10 +51,10 @@
 def test_every_scenario_reads_and_comes_back_from_its_own_text(tmp_path: Path) -> None:
     paths = sorted(SCENARIOS.glob("*.toml"))
     assert len(paths) >= 15
-    for one in [*map(read, paths), *(drawn(seed) for seed in range(50))]:
+    for one in [*map(read_scenario, paths), *(random_scenario(seed) for seed in range(50))]:
         path = tmp_path / f"{one.name}.toml"
-        path.write_text(written(one))
-        assert read(path) == one
+        path.write_text(scenario_to_toml(one))
+        assert read_scenario(path) == one
 
 
 @pytest.mark.parametrize(
@@ -146,7 +148,7 @@
     assert found
     tail = checks.shortest_tail(history(rows), found[0])
     assert 0 < len(tail.rows) <= len(rows)
-    assert any(w.what == found[0].what for w in checks.CHECKS[check](tail))
+    assert any(w.description == found[0].description for w in checks.CHECKS[check](tail))
 
 
 # Links.
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -131,7 +131,7 @@
     patch.setattr(Departures, "mark_member_ended", end_member_and_its_instance)
 
 
-BUGS: list[tuple[explore.Kind, Bug]] = [
+BUGS: list[tuple[explore.RunType, Bug]] = [
     (explore.Schedule, half_is_a_majority),
     (explore.Schedule, nobody_waits_for_prior_leases),
     (explore.Schedule, lease_starts_when_round_completes),
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize(("kind", "bug"), BUGS, ids=lambda parameter: str(parameter.__name__))
-def test_injected_bug_is_found(kind: explore.Kind, bug: Bug, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_injected_bug_is_found(kind: explore.RunType, bug: Bug, monkeypatch: pytest.MonkeyPatch) -> None:
     bug(monkeypatch)
     found = explore.search(kind, range(SEARCH_RUNS[kind]))
     assert found is not None
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize(("kind", "runs"), [(explore.Schedule, 60), (explore.Ballots, 3000)])
-def test_no_promise_breaks_without_a_bug(kind: explore.Kind, runs: int) -> None:
+def test_no_promise_breaks_without_a_bug(kind: explore.RunType, runs: int) -> None:
     assert explore.search(kind, range(10_000, 10_000 + runs)) is None
 
 
@@ -172,9 +172,9 @@
 
 def test_leases_overlap_beyond_the_bound_on_clock_drift() -> None:
     """The guarantee of one owner depends on the bound: with larger drift two relays own the same key."""
-    found = explore.search(explore.Schedule, range(SEARCH_RUNS[explore.Schedule]), assumed=False)
+    found = explore.search(explore.Schedule, range(SEARCH_RUNS[explore.Schedule]), bounded_drift=False)
     assert found is not None
-    assert found.promise == "owners"
+    assert found.invariant == "owners"
 
 
 def test_a_schedule_is_deterministic() -> None:
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -156,7 +156,7 @@
     assert settles(world, names(2, 1), CRASH_SECONDS)
     world.run(10.0)
     assert not may_act(world, "r000")  # still paused: the lease has expired by the clock alone
-    world.go_on("r000")
+    world.resume("r000")
     assert settles(world, names(3), HEAL_SECONDS)
     assert not [relay for relay in relays_with_event(world, "fleet.removed") if relay != "r000"]
 
@@ -229,9 +229,9 @@
 
 def test_loss_repetition_and_reordering_remove_no_living_member() -> None:
     world = settled_fleet(7)
-    world.default.loss = 0.3
-    world.default.repeat = 0.1
-    world.default.delay = (0.001, 0.06)
+    world.default_link.loss = 0.3
+    world.default_link.repeat = 0.1
+    world.default_link.delay = (0.001, 0.06)
     world.run(120.0)
     assert not relays_with_event(world, "fleet.removed")
     world.kill("r006")
@@ -269,7 +269,7 @@
 
 def test_clock_stepped_by_an_hour_changes_no_lease_and_no_order_of_updates() -> None:
     world = settled_fleet(3)
-    world.hosts["r000"].stepped = 3600.0
+    world.hosts["r000"].wall_clock_offset = 3600.0
     put(world, "r000", "ban:s1", 1.0)
     world.run(1.0)
     assert all(node(world, name).map.get("ban:s1") == 1.0 for name in names(3))
@@ -350,17 +350,17 @@
     relay.set_entry("ban:0", None, now)
     # The new tombstone is retained for relays that may still have the value.
     assert not relay.set_entry("ban:more", 1.0, now)
-    world.hosts["r000"].stepped = 3700.0
+    world.hosts["r000"].wall_clock_offset = 3700.0
     assert relay.set_entry("ban:more", 1.0, now)
 
 
 @pytest.mark.parametrize("size", [3, 200])
 def test_packets_stay_small_and_few_at_any_size(size: int) -> None:
     world = settled_fleet(size, encode=True)
-    world.bytes.clear()
+    world.sent_bytes.clear()
     world.run(20.0)
-    assert max(world.bytes.values()) / 20.0 < MAX_BYTES_PER_SECOND
-    assert world.longest <= MAX_DATAGRAM_BYTES
+    assert max(world.sent_bytes.values()) / 20.0 < MAX_BYTES_PER_SECOND
+    assert world.longest_datagram <= MAX_DATAGRAM_BYTES
 
 
 def test_no_packet_is_too_long_where_names_are_as_long_as_can_be() -> None:
@@ -382,7 +382,7 @@
     for name in members[:50]:
         world.kill(name)
     assert settles(world, members[50:], 20.0)
-    assert MIN_LONG_PACKET_BYTES < world.longest <= MAX_DATAGRAM_BYTES
+    assert MIN_LONG_PACKET_BYTES < world.longest_datagram <= MAX_DATAGRAM_BYTES
 
 
 @pytest.mark.parametrize("size", [20, 48])
--- a/violetdoor/cli/faults.py
+++ b/violetdoor/cli/faults.py
@@ -38,19 +38,19 @@
 
     folder = None if out is None else out / scenario.name
     try:
-        history = asyncio.run(rig.play(scenario, folder, keep_logs=folder is not None))
+        history = asyncio.run(rig.run_scenario(scenario, folder, keep_logs=folder is not None))
     except (rig.RigError, TimeoutError) as error:
         fail(f"{scenario.name}: the rig failed: {error or type(error).__name__}")
     violations = checks.run(history)
     _save_history(history, folder)
-    answered = sum(1 for row in history.of("answer") if row.values["word"] == "UP")
-    views = len({row.values["view"] for row in history.of(FLEET_VIEW)})
+    answered = sum(1 for row in history.of_kinds("answer") if row.values["word"] == "UP")
+    views = len({row.values["view"] for row in history.of_kinds(FLEET_VIEW)})
     state = "holds" if not violations else f"{len(violations)} wrong"
     counts = f"{answered} clients served, {views} views, {len(history.rows)} rows"
     click.echo(f"{scenario.name}: {state}; {counts}")
     if violations:
         first = violations[0]
-        click.echo(f"{first.check}: {first.what}")
+        click.echo(f"{first.check}: {first.description}")
         for row in checks.shortest_tail(history, first).rows[-MAX_TAIL_ROWS:]:
             click.echo(str(row))
     return not violations
@@ -77,12 +77,12 @@
 @OUT
 def faults_run(paths: tuple[Path, ...], seed: int | None, out: Path | None) -> int:
     """Play the scenarios of these files; status 1 if a check does not hold, with the tail that shows it."""
-    from violetdoor.faults.scenario import read
+    from violetdoor.faults.scenario import read_scenario
 
     scenarios = []
     try:
         for path in paths:
-            scenario = read(path)
+            scenario = read_scenario(path)
             scenarios.append(scenario if seed is None else msgspec.structs.replace(scenario, seed=seed))
     except ConfigError as error:
         fail(str(error))
@@ -97,13 +97,13 @@
 @click.option("--print", "show", is_flag=True, help="Print the schedules and play none.")
 def faults_random(count: int, seed: int, seconds: float, out: Path | None, *, show: bool) -> int:
     """Draw schedules and play them."""
-    from violetdoor.faults.scenario import drawn, written
+    from violetdoor.faults.scenario import random_scenario, scenario_to_toml
 
     results = []
     for number in range(seed, seed + count):
-        scenario = drawn(number, seconds)
+        scenario = random_scenario(number, seconds)
         if show:
-            click.echo(written(scenario))
+            click.echo(scenario_to_toml(scenario))
         else:
             results.append(_play(scenario, out))
             sys.stdout.flush()
@@ -126,13 +126,13 @@
 def faults_report(folder: Path) -> int:
     """Draw each history below a folder: a row a relay, its view's number over time, faults as bands."""
     from violetdoor.faults.history import History
-    from violetdoor.faults.report import picture
+    from violetdoor.faults.report import draw_views
 
     found = sorted(folder.rglob(HISTORY_FILE))
     if not found:
         fail(f"{folder}: no history.parquet below it")
     for path in found:
         picture_path = path.with_name(PICTURE_FILE)
-        picture(History.load(path), picture_path, path.parent.name)
+        draw_views(History.load(path), picture_path, path.parent.name)
         click.echo(str(picture_path))
     return 0
--- a/violetdoor/faults/actors.py
+++ b/violetdoor/faults/actors.py
@@ -26,7 +26,7 @@
 LAST_LINE = 7.0  # s without any line after which a client calls its connection silent
 
 
-class Gate:
+class GateServer:
     """A gate server of the line protocol. It can be killed, stopped and brought back at its address."""
 
     def __init__(self, name: str, host: str, note: Note) -> None:
@@ -88,7 +88,7 @@
 class Discovery:
     """Answers list calls; what a call waits for is told when the list changes."""
 
-    def __init__(self, gates: list[Gate]) -> None:
+    def __init__(self, gates: list[GateServer]) -> None:
         self.gates, self.version = gates, 1
         self.started = dict.fromkeys((g.name for g in gates), 0)
         self.gone: set[str] = set()
@@ -99,7 +99,7 @@
         self.server = await asyncio.start_server(self._take, host, 0)
         self.address = self.server.sockets[0].getsockname()[:2]
 
-    def tell(self, gate: Gate, up: bool, at_ms: int) -> None:
+    def tell(self, gate: GateServer, up: bool, at_ms: int) -> None:
         """A gate server went, or is back."""
         if up:
             self.gone.discard(gate.name)
--- a/violetdoor/faults/checks.py
+++ b/violetdoor/faults/checks.py
@@ -20,18 +20,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wrong:
+class CheckFailure:
     """A check that does not hold, and where."""
 
     check: str
-    what: str
+    description: str
     row: int  # of the history
 
 
-Check = Callable[[History], Iterator[Wrong]]
+Check = Callable[[History], Iterator[CheckFailure]]
 
 
-def answers(history: History) -> Iterator[Wrong]:
+def check_answers(history: History) -> Iterator[CheckFailure]:
     """Each connection has one answer in time, unless its relay died, was stopped, or left meanwhile."""
     opened: dict[str, Row] = {}
     answered: set[str] = set()
@@ -42,7 +42,7 @@
                 opened[name] = row
             case "answer", {"id": str(name)}:
                 if name in answered:
-                    yield Wrong("answers", f"{name} has two answers", n)
+                    yield CheckFailure("answers", f"{name} has two answers", n)
                 answered.add(name)
             case "end", {"id": str(name), "how": str(how), "relay": str(relay)}:
                 first = opened.pop(name, None)
@@ -52,7 +52,7 @@
                     start <= row.at + SLACK and end >= first.at - SLACK for start, end in down[relay]
                 )
                 if how == "no answer" and not excused:
-                    yield Wrong(
+                    yield CheckFailure(
                         "answers", f"{name} at {relay} has no answer within {row.at - first.at:.2f} s", n
                     )
                 elif (
@@ -60,14 +60,14 @@
                     or how.startswith("wrong line")
                     or (how == "silent" and not excused)
                 ):
-                    yield Wrong("answers", f"{name} at {relay}: {how}", n)
+                    yield CheckFailure("answers", f"{name} at {relay}: {how}", n)
 
 
 def _down(history: History) -> dict[str, list[tuple[float, float]]]:
     """When each relay was dead or stopped by the rig's hand."""
     down: dict[str, list[tuple[float, float]]] = defaultdict(list)
     since: dict[str, float] = {}
-    for row in history.of("down", "up"):
+    for row in history.of_kinds("down", "up"):
         if row.kind == "down":
             since.setdefault(row.who, row.at)
         elif row.who in since:
@@ -77,7 +77,7 @@
     return down
 
 
-def numbers(history: History) -> Iterator[Wrong]:
+def check_numbers(history: History) -> Iterator[CheckFailure]:
     """Two relays that hold the same number hold the same members."""
     known: dict[str, tuple[str, str]] = {}
     for n, row in enumerate(history.rows):
@@ -85,12 +85,12 @@
             number, digest = row.values["view"], row.values["digest"]
             first = known.setdefault(number, (digest, row.who))
             if first[0] != digest:
-                yield Wrong(
+                yield CheckFailure(
                     "numbers", f"view {number} is {digest} at {row.who} and {first[0]} at {first[1]}", n
                 )
 
 
-def owners(history: History) -> Iterator[Wrong]:
+def check_owners(history: History) -> Iterator[CheckFailure]:
     """A key has one owner at a time, and owners follow each other by the number of their view."""
     last: dict[str, Row] = {}
     for n, row in enumerate(history.rows):
@@ -101,9 +101,9 @@
             mine, its = _number(row.values["view"]), _number(before.values["view"])
             if mine[0] == its[0] and mine[1] < its[1]:
                 after = f"after {before.who} by {before.values['view']}"
-                yield Wrong("owners", f"{row.who} owns {key} by {row.values['view']} {after}", n)
+                yield CheckFailure("owners", f"{row.who} owns {key} by {row.values['view']} {after}", n)
             if row.values["view"] == before.values["view"]:
-                yield Wrong(
+                yield CheckFailure(
                     "owners", f"{row.who} and {before.who} both own {key} by view {row.values['view']}", n
                 )
         if (
@@ -119,7 +119,7 @@
     return int(line, 16), int(seq)
 
 
-def leases(history: History) -> Iterator[Wrong]:
+def check_leases(history: History) -> Iterator[CheckFailure]:
     """No relay acts without a lease: what it says it owns it says between `live` and `stale`."""
     stale: dict[str, float] = {}
     for n, row in enumerate(history.rows):
@@ -128,14 +128,14 @@
         elif row.kind in ("fleet.lease_acquired", "started"):
             stale.pop(row.who, None)
         elif row.kind == "owns" and row.who in stale and row.values["asked"] > stale[row.who] + 0.01:
-            yield Wrong(
+            yield CheckFailure(
                 "leases",
                 f"{row.who} owns {row.values['key']} though it is stale since {stale[row.who]:.3f}",
                 n,
             )
 
 
-def clear(history: History) -> Iterator[Wrong]:
+def check_clear(history: History) -> Iterator[CheckFailure]:
     """A relay that a view has left out owns nothing once others may act on that view."""
     cleared: dict[str, tuple[float, str]] = {}  # by name of who was left out: from when, by which view
     members: dict[str, set[str]] = {}  # by view
@@ -153,12 +153,12 @@
         elif row.kind == "owns" and row.who in cleared:
             at, view = cleared[row.who]
             if row.values["asked"] > at and _number(row.values["view"])[0] == _number(view)[0]:
-                yield Wrong(
+                yield CheckFailure(
                     "clear", f"{row.who} owns {row.values['key']} after view {view} without it was clear", n
                 )
 
 
-def settled(history: History) -> Iterator[Wrong]:
+def check_settled(history: History) -> Iterator[CheckFailure]:
     """All that reach each other hold one view of just themselves, or know that they hold none, in time.
 
     But for those that were told to wait since they come and go.
@@ -198,7 +198,7 @@
 def _held(
     groups: list[list[str]], at_view: dict[str, tuple[str, frozenset[str]]], live: dict[str, bool],
     last_big: frozenset[str] | None, quiet: float, promised: bool, row: int,
-) -> Iterator[Wrong]:  # fmt: skip
+) -> Iterator[CheckFailure]:  # fmt: skip
     if not promised or quiet < SETTLED_WITHIN:
         return
     for group in groups:
@@ -208,34 +208,36 @@
             told = {
                 n: at_view.get(n, ("none", frozenset()))[0] + ("" if live.get(n) else " stale") for n in group
             }
-            yield Wrong(
+            yield CheckFailure(
                 "settled", f"{quiet:.1f} s after the last change {sorted(group)} stand at {told}", row
             )
         elif quiet > STALE_WITHIN and last_big is not None and 2 * len(last_big & set(group)) < len(last_big):
             for name in group:
                 if live.get(name):
-                    yield Wrong("settled", f"{name} holds a lease among {sorted(group)}, no majority", row)
+                    yield CheckFailure(
+                        "settled", f"{name} holds a lease among {sorted(group)}, no majority", row
+                    )
 
 
 CHECKS: dict[str, Check] = {
-    "answers": answers, "numbers": numbers, "owners": owners, "leases": leases, "clear": clear,
-    "settled": settled,
+    "answers": check_answers, "numbers": check_numbers, "owners": check_owners, "leases": check_leases,
+    "clear": check_clear, "settled": check_settled,
 }  # fmt: skip
 
 
-def run(history: History) -> list[Wrong]:
+def run(history: History) -> list[CheckFailure]:
     """All that is wrong, by the order of the checks."""
     return [wrong for check in CHECKS.values() for wrong in check(history)]
 
 
-def shortest_tail(history: History, wrong: Wrong) -> History:
+def shortest_tail(history: History, wrong: CheckFailure) -> History:
     """The rows up to the fault, from the latest one on from which its check still finds it."""
     upto = History(history.rows[: wrong.row + 1])
     check = CHECKS[wrong.check]
     low, high = 0, len(upto.rows) - 1  # found from `low` on; halve as long as it still is
     while low < high:
         middle = (low + high + 1) // 2
-        if any(w.what == wrong.what for w in check(upto.tail(middle))):
+        if any(w.description == wrong.description for w in check(upto.tail(middle))):
             low = middle
         else:
             high = middle - 1
--- a/violetdoor/faults/control_checks.py
+++ b/violetdoor/faults/control_checks.py
@@ -19,13 +19,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Broken:
+class Violation:
     """A promise that a run broke."""
 
     seed: int
     at: float
-    promise: str
-    what: str
+    invariant: str
+    description: str
 
 
 class ControlChecks:
@@ -33,13 +33,13 @@
 
     def __init__(self, world: ControlWorld, seed: int, keys: tuple[str, ...]) -> None:
         self.world, self.seed, self.keys = world, seed, keys
-        self.broken: Broken | None = None
+        self.broken: Violation | None = None
         self.looked_at = -LOOK_EVERY
-        self.acted = 0  # times that a relay was seen to own a key
+        self.ownerships_seen = 0  # times that a relay was seen to own a key
         self._versions: dict[tuple[str, int], Version] = {}  # by name of a relay and its process
         self._settled: dict[str, Version] = {}  # the newest by region
 
-    def look(self) -> None:
+    def check_world(self) -> None:
         """Look at all promises, unless that was done just now."""
         if self.broken is not None or self.world.now < self.looked_at + LOOK_EVERY:
             return
@@ -65,7 +65,7 @@
         """Versions of one line never go back at a relay."""
         if attachment.roster is None:
             return
-        version, key = attachment.roster.version, (relay.name, relay.life)
+        version, key = attachment.roster.version, (relay.name, relay.generation)
         before = self._versions.get(key)
         if before is not None and is_newer_in_epoch(before, version):
             self._break("versions", f"{relay.name} went from {before} back to {version}")
@@ -90,10 +90,10 @@
         for key in self.keys:
             if not attachment.owns(key, now):
                 continue
-            self.acted += 1
+            self.ownerships_seen += 1
             other = owners.setdefault(key, relay.name)
             if other != relay.name:
                 self._break("owners", f"{key} is acted on by {other} and {relay.name}")
 
-    def _break(self, promise: str, what: str) -> None:
-        self.broken = self.broken or Broken(self.seed, round(self.world.now, 4), promise, what)
+    def _break(self, invariant: str, description: str) -> None:
+        self.broken = self.broken or Violation(self.seed, round(self.world.now, 4), invariant, description)
--- a/violetdoor/faults/control_explore.py
+++ b/violetdoor/faults/control_explore.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from violetdoor.control.distribution import ROSTER_BACKLOG_LIMIT_BYTES
-from violetdoor.faults.control_checks import Broken, ControlChecks
+from violetdoor.faults.control_checks import ControlChecks, Violation
 from violetdoor.faults.control_world import ControlWorld
 from violetdoor.fleet.lease import MAX_CLOCK_DRIFT_FRACTION
 
@@ -30,15 +30,15 @@
 class Schedule:
     """One run of one or two regions."""
 
-    def __init__(self, seed: int, harms: Sequence[str] = HARMS, assumed: bool = True) -> None:
+    def __init__(self, seed: int, harms: Sequence[str] = HARMS, bounded_drift: bool = True) -> None:
         """`assumed=False`: clocks drift beyond what the promises rest on."""
         self.harms = harms
         self.seed, self.random = seed, Random(f"control schedule {seed}")
         self.world = world = ControlWorld(seed, hostile=True)
         self.checks = ControlChecks(world, seed, KEYS)
-        world.watch = self.checks.look
+        world.after_step = self.checks.check_world
         regions = ("a", "b")[: self.random.choice((1, 1, 1, 2))]
-        drift = MAX_CLOCK_DRIFT_FRACTION / 2 * (1 if assumed else 10)
+        drift = MAX_CLOCK_DRIFT_FRACTION / 2 * (1 if bounded_drift else 10)
         for region in regions:
             world.add_region(region, MACHINES)
         for name, control in world.controls.items():
@@ -49,11 +49,11 @@
                 relay = world.start_relay(f"{region}-r{n}", region, f"{region}-z{n % 2}")
                 relay.rate = 1 + self.random.uniform(-drift, drift)
 
-    def run(self) -> Broken | None:
+    def run(self) -> Violation | None:
         """Play it; the first promise that is broken, if one is."""
         world, random = self.world, self.random
         world.run(FOUNDING, self._over)
-        world.default.loss = random.choice((0.0, 0.0, 0.02, 0.1))
+        world.default_link.loss = random.choice((0.0, 0.0, 0.02, 0.1))
         while world.now < SECONDS and not self._over():
             world.run(random.expovariate(1 / HARM_EVERY), self._over)
             self._harm(random.choice(self.harms))
@@ -116,15 +116,17 @@
     def _go_on(self) -> None:
         for name, control in self.world.controls.items():
             if control.host.stopped:
-                self.world.go_on(name)
+                self.world.resume(name)
         for relay in self.world.relays.values():
             if relay.stopped:
-                self.world.go_on_relay(relay.name)
+                self.world.resume_relay(relay.name)
 
 
-def search(seeds: Iterable[int], harms: Sequence[str] = HARMS, assumed: bool = True) -> Broken | None:
+def search(
+    seeds: Iterable[int], harms: Sequence[str] = HARMS, bounded_drift: bool = True
+) -> Violation | None:
     """Play runs until one breaks a promise."""
     for seed in seeds:
-        if (broken := Schedule(seed, harms, assumed).run()) is not None:
+        if (broken := Schedule(seed, harms, bounded_drift).run()) is not None:
             return broken
     return None
--- a/violetdoor/faults/control_world.py
+++ b/violetdoor/faults/control_world.py
@@ -42,7 +42,7 @@
     region: str
     zone: str
     attachment: Attachment | None = None
-    life: int = 0  # processes that ran here
+    generation: int = 0  # processes that ran here
     stopped: bool = False
     rate: float = 1.0
     offset: float = 0.0  # of its clock
@@ -59,7 +59,7 @@
     host: Host
     region: str
     machine: ControlMachine | None = None
-    life: int = 0
+    generation: int = 0
     wakes_at: float = math.inf
     changed: list[str] = field(default_factory=list)  # keys of the shared map
     accepted: dict[int, Connection] = field(default_factory=dict)  # by number of the session
@@ -75,9 +75,9 @@
     """From a relay, or a control machine that follows a region, to a control machine."""
 
     client: Relay | Control
-    client_life: int
+    client_generation: int
     server: Control
-    server_life: int
+    server_generation: int
     number: int = 0  # of the session, once it was accepted
     region: str = ""  # that is followed
     open: bool = True
@@ -99,7 +99,7 @@
         self.groups: dict[str, list[str]] = {}  # control machines by region
         self.limits = act.MachineLimits()
         self.sessions = 0
-        self.reports: list[tuple[float, str, str, dict[str, Any]]] = []  # when, at whom, what
+        self.control_events: list[tuple[float, str, str, dict[str, Any]]] = []  # when, at whom, what
         self.messages = 0  # that arrived on sessions
 
     # Processes.
@@ -114,7 +114,7 @@
         """Start a control machine: its node in the group, and what is built on it."""
         control = self.controls[name]
         group = self.groups[control.region]
-        control.life += 1
+        control.generation += 1
         control.machine, control.wakes_at = None, math.inf
         control.accepted, control.following, control.changed = {}, {}, []
         self.start(name, group, group)
@@ -132,7 +132,7 @@
     def start_relay(self, name: str, region: str, zone: str = "") -> Relay:
         """Start a process of a relay."""
         relay = self.relays.setdefault(name, Relay(name, region, zone))
-        relay.life += 1
+        relay.generation += 1
         relay.stopped, relay.wakes_at, relay.connection, relay.beat_at = False, math.inf, None, -math.inf
         controls = tuple((self.host(one).address[0], CONTROL_PORT) for one in self.groups[region])
         plan = AttachmentConfig(name, f"host-{name}", 4222, zone, region, controls)
@@ -147,7 +147,7 @@
         control = self.controls[name]
         self.kill(name)
         control.machine = None
-        control.life += 1
+        control.generation += 1
         ended = [*control.accepted.values(), *control.following.values()]
         control.accepted, control.following = {}, {}
         for connection in ended:
@@ -157,24 +157,24 @@
         """End a relay's process; `silent`: with its machine."""
         relay = self.relays[name]
         relay.attachment = None
-        relay.life += 1
+        relay.generation += 1
         if relay.connection is not None:
             self._end(relay.connection, relay, silent)
             relay.connection = None
 
-    def go_on(self, name: str) -> None:
-        super().go_on(name)
+    def resume(self, name: str) -> None:
+        super().resume(name)
         control = self.controls[name]
         control.wakes_at = self.now
-        self._push(self.now, self._wake_control, control, control.life)
+        self._schedule(self.now, self._wake_control, control, control.generation)
 
     def stop_relay(self, name: str) -> None:
         self.relays[name].stopped = True
 
-    def go_on_relay(self, name: str) -> None:
+    def resume_relay(self, name: str) -> None:
         relay = self.relays[name]
         relay.stopped, relay.wakes_at = False, self.now
-        self._push(self.now, self._wake_relay, relay, relay.life)
+        self._schedule(self.now, self._wake_relay, relay, relay.generation)
 
     def relay_clock(self, relay: Relay) -> float:
         return 5000.0 + relay.offset + self.now * relay.rate
@@ -205,9 +205,9 @@
             machine.group_changed(state, now)
         self._act_control(control)
 
-    def _wake_control(self, control: Control, life: int) -> None:
+    def _wake_control(self, control: Control, generation: int) -> None:
         machine = control.machine
-        if machine is None or control.life != life or control.host.stopped:
+        if machine is None or control.generation != generation or control.host.stopped:
             return
         if self.now < control.wakes_at:
             return  # a wake that was planned before it was put off
@@ -231,16 +231,16 @@
         at = self.now + max(0.0, machine.next_wake_at - now) / control.host.rate
         if at < control.wakes_at - ROUNDING or control.wakes_at < self.now:
             control.wakes_at = at
-            self._push(at, self._wake_control, control, control.life)
+            self._schedule(at, self._wake_control, control, control.generation)
 
     def _do_control(self, control: Control, machine: ControlMachine, action: act.Action) -> None:
         match action:
             case act.SendToSession(session, message):
                 if (connection := control.accepted.get(session)) is not None:
-                    self._write(connection, connection.to_client, message)
+                    self._send_on_connection(connection, connection.to_client, message)
             case act.CloseSession(session):
                 if (connection := control.accepted.pop(session, None)) is not None:
-                    self._write(connection, connection.to_client, CLOSED)
+                    self._send_on_connection(connection, connection.to_client, CLOSED)
             case act.SendToMember(member, message):
                 self._send_group(control, member, message)
             case act.ConnectRegion(region, address):
@@ -248,23 +248,23 @@
                 self._connect(control, address, region)
             case act.SendToRegion(region, message):
                 if (connection := control.following.get(region)) is not None:
-                    self._write(connection, connection.to_server, message)
+                    self._send_on_connection(connection, connection.to_server, message)
             case act.DisconnectRegion(region):
                 if (connection := control.following.pop(region, None)) is not None:
-                    self._write(connection, connection.to_server, CLOSED)
+                    self._send_on_connection(connection, connection.to_server, CLOSED)
             case act.MergeEntries(entries):
                 self._merge(control, entries)
             case act.EmitEvent(name, values):
-                self.reports.append((self.now, control.name, name, values))
+                self.control_events.append((self.now, control.name, name, values))
 
     def _merge(self, control: Control, entries: tuple[MapEntry, ...]) -> None:
         node = control.host.node
         assert node is not None and control.machine is not None
         node.map.merge(entries, self.unix(control.host), 3)
-        self._push(self.now, self._carry_out_later, control, control.life)
+        self._schedule(self.now, self._carry_out_later, control, control.generation)
 
-    def _carry_out_later(self, control: Control, life: int) -> None:
-        if control.life == life and control.machine is not None and not control.host.stopped:
+    def _carry_out_later(self, control: Control, generation: int) -> None:
+        if control.generation == generation and control.machine is not None and not control.host.stopped:
             self.carry_out_actions(control.host)
 
     def _send_group(self, control: Control, member: str, message: GroupMessage) -> None:
@@ -272,13 +272,13 @@
         delay = self._delay(control.name, member)
         if to is None or delay is None:
             return
-        self._push(self.now + delay, self._group_arrives, control.name, to, to.life, message)
+        self._schedule(self.now + delay, self._group_arrives, control.name, to, to.generation, message)
 
-    def _group_arrives(self, source: str, to: Control, life: int, message: GroupMessage) -> None:
-        if to.life != life or to.machine is None or self.link(source, to.name).cut:
+    def _group_arrives(self, source: str, to: Control, generation: int, message: GroupMessage) -> None:
+        if to.generation != generation or to.machine is None or self.link(source, to.name).cut:
             return
         if to.host.stopped:
-            self._push(self.now + LOOK_AGAIN, self._group_arrives, source, to, life, message)
+            self._schedule(self.now + LOOK_AGAIN, self._group_arrives, source, to, generation, message)
             return
         to.machine.group_message_received(source, message, self.clock(to.host))
         self._act_control(to)
@@ -297,8 +297,13 @@
 
     # Relays.
 
-    def _wake_relay(self, relay: Relay, life: int) -> None:
-        if relay.attachment is None or relay.life != life or relay.stopped or self.now < relay.wakes_at:
+    def _wake_relay(self, relay: Relay, generation: int) -> None:
+        if (
+            relay.attachment is None
+            or relay.generation != generation
+            or relay.stopped
+            or self.now < relay.wakes_at
+        ):
             return
         relay.wakes_at = math.inf
         now = self.relay_clock(relay) + ROUNDING
@@ -315,7 +320,7 @@
         at = self.now + max(0.0, attachment.next_wake_at - self.relay_clock(relay)) / relay.rate
         if at < relay.wakes_at - ROUNDING or relay.wakes_at < self.now:
             relay.wakes_at = at
-            self._push(at, self._wake_relay, relay, relay.life)
+            self._schedule(at, self._wake_relay, relay, relay.generation)
 
     def carry_out_relay_action(self, relay: Relay, action: relay_actions.Action) -> None:
         match action:
@@ -326,17 +331,17 @@
                 if relay.connection is not None:
                     if isinstance(message, Heartbeat):
                         relay.beat_at = self.now
-                    self._write(relay.connection, relay.connection.to_server, message)
+                    self._send_on_connection(relay.connection, relay.connection.to_server, message)
             case relay_actions.Disconnect():
                 if relay.connection is not None:
-                    self._write(relay.connection, relay.connection.to_server, CLOSED)
+                    self._send_on_connection(relay.connection, relay.connection.to_server, CLOSED)
                 relay.connection = None
             case act.EmitEvent(name, values):
                 relay.events.append((self.now, name, values))
             case relay_actions.LookupResult():
                 relay.events.append((self.now, "looked up", {"region": action.region, "owner": action.owner}))
 
-    def put(self, name: str, key: str, value: float | None) -> None:
+    def set_shared_value(self, name: str, key: str, value: float | None) -> None:
         """Set a value of the shared map at a relay."""
         relay = self.relays[name]
         assert relay.attachment is not None
@@ -350,7 +355,7 @@
         relay.attachment.leave()
         self.carry_out_relay_actions(relay)
         relay.attachment = None
-        relay.life += 1
+        relay.generation += 1
 
     # Connections.
 
@@ -360,9 +365,9 @@
         out, back = self._delay(client.name, name), self._delay(name, client.name)
         if out is None or back is None or (server.machine is not None and server.host.stopped):
             return  # nothing is heard, and the client gives up in time
-        connection = Connection(client, client.life, server, server.life, region=region)
+        connection = Connection(client, client.generation, server, server.generation, region=region)
         if server.machine is None:
-            self._push(self.now + out + back, self._failed, connection)
+            self._schedule(self.now + out + back, self._failed, connection)
             return
         self.sessions += 1
         connection.number = self.sessions
@@ -370,12 +375,12 @@
             client.connection = connection
         else:
             client.following[region] = connection
-        self._push(self.now + out, self._accept, connection)
-        self._push(self.now + out + back, self._connected, connection)
+        self._schedule(self.now + out, self._accept, connection)
+        self._schedule(self.now + out + back, self._connected, connection)
 
     def _failed(self, connection: Connection) -> None:
         client = connection.client
-        if client.life != connection.client_life:
+        if client.generation != connection.client_generation:
             return
         if isinstance(client, Relay):
             if client.attachment is not None and client.connection is None and not client.stopped:
@@ -388,7 +393,7 @@
 
     def _accept(self, connection: Connection) -> None:
         server = connection.server
-        if server.life != connection.server_life or server.machine is None or not connection.open:
+        if server.generation != connection.server_generation or server.machine is None or not connection.open:
             return
         server.accepted[connection.number] = connection
         server.machine.session_opened(connection.number, connection.client.name, self.clock(server.host))
@@ -399,7 +404,7 @@
         if not self._client_has(connection):
             return
         if self._stopped(client):
-            self._push(self.now + LOOK_AGAIN, self._connected, connection)
+            self._schedule(self.now + LOOK_AGAIN, self._connected, connection)
             return
         if isinstance(client, Relay):
             assert client.attachment is not None
@@ -412,7 +417,7 @@
 
     def _client_has(self, connection: Connection) -> bool:
         client = connection.client
-        if client.life != connection.client_life:
+        if client.generation != connection.client_generation:
             return False
         if isinstance(client, Relay):
             return client.attachment is not None and client.connection is connection
@@ -427,9 +432,11 @@
         if silent:
             return
         way = connection.to_client if ended is connection.server else connection.to_server
-        self._write(connection, way, CLOSED)
+        self._send_on_connection(connection, way, CLOSED)
 
-    def _write(self, connection: Connection, way: deque[tuple[float, Any]], message: Any) -> None:
+    def _send_on_connection(
+        self, connection: Connection, way: deque[tuple[float, Any]], message: Any
+    ) -> None:
         """Queue a message one way; it arrives after those before it."""
         to_server = way is connection.to_server
         names = connection.client.name, connection.server.name
@@ -439,7 +446,7 @@
             ready = max(ready, way[-1][0])
         way.append((ready, message))
         if len(way) == 1:
-            self._push(ready, self._arrives, connection, way)
+            self._schedule(ready, self._arrives, connection, way)
 
     def _arrives(self, connection: Connection, way: deque[tuple[float, Any]]) -> None:
         """Hand on what has arrived; where the link is cut or the reader stopped, look again later."""
@@ -452,7 +459,7 @@
         elif self._stopped(reader):
             wait = LOOK_AGAIN
         if wait is not None:
-            self._push(self.now + wait, self._arrives, connection, way)
+            self._schedule(self.now + wait, self._arrives, connection, way)
             return
         while way and way[0][0] <= self.now:
             _, message = way.popleft()
@@ -461,14 +468,14 @@
             else:
                 self._client_reads(connection, message)
         if way:
-            self._push(way[0][0], self._arrives, connection, way)
+            self._schedule(way[0][0], self._arrives, connection, way)
 
     def _server_reads(self, connection: Connection, message: Any) -> None:
         server, number = connection.server, connection.number
-        if server.life != connection.server_life or server.machine is None:
+        if server.generation != connection.server_generation or server.machine is None:
             # Nobody is there any more: the client hears of it once it writes.
             if message is not CLOSED and not connection.to_client:
-                self._write(connection, connection.to_client, CLOSED)
+                self._send_on_connection(connection, connection.to_client, CLOSED)
             return
         if server.accepted.get(number) is not connection:
             return
@@ -520,7 +527,7 @@
             if relay.attachment is not None and region in (None, relay.region)
         ]  # fmt: skip
 
-    def agreed(self, region: str, names: Sequence[str]) -> bool:
+    def relays_agree(self, region: str, names: Sequence[str]) -> bool:
         """Whether all running relays of a region hold a lease and one roster, of just these."""
         wanted = sorted(names)
         for relay in self.running(region):
@@ -533,7 +540,7 @@
                 return False
         return True
 
-    def until(self, condition: Callable[[], bool], within: float) -> float | None:
+    def run_until(self, condition: Callable[[], bool], within: float) -> float | None:
         """Run until something is so; how long that took, or nothing where it did not come in time."""
         began = self.now
         return self.now - began if self.run(within, condition) else None
--- a/violetdoor/faults/explore.py
+++ b/violetdoor/faults/explore.py
@@ -44,19 +44,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Broken:
+class Violation:
     """A promise that a schedule broke."""
 
     seed: int
     at: float
-    promise: str
-    what: str
+    invariant: str
+    description: str
 
 
 class Hostile(World):
     """A world whose links take as long as they like."""
 
-    def _send(self, host: Host, address: Address, packet: m.Packet) -> None:
+    def _send_datagram(self, host: Host, address: Address, packet: m.Packet) -> None:
         to = self.by_address.get(address)
         if to is None:
             return
@@ -66,32 +66,32 @@
                 continue
             slowest = 0.002 if self.random.random() < QUICK else SLOWEST
             delay = math.exp(self.random.uniform(math.log(QUICKEST), math.log(slowest)))
-            self._push(self.now + delay, self._arrive, to, to.life, packet, host.address)
+            self._schedule(self.now + delay, self._deliver_datagram, to, to.generation, packet, host.address)
 
 
 class Schedule:
     """One run of some nodes."""
 
-    def __init__(self, seed: int, assumed: bool = True) -> None:
+    def __init__(self, seed: int, bounded_drift: bool = True) -> None:
         self.seed, self.random = seed, Random(f"schedule {seed}")
         self.world = world = Hostile(seed)
-        world.watch = self._look
+        world.after_step = self._look
         self.names = [f"n{n}" for n in range(self.random.choice((3, 3, 4, 5)))]
-        self.broken: Broken | None = None
+        self.broken: Violation | None = None
         self.members: dict[str, str] = {}  # digest by number
         self.looked = 0.0
         for name in self.names:
             host = world.host(name)
             host.rate = 1 + self.random.uniform(-MAX_CLOCK_DRIFT_FRACTION, MAX_CLOCK_DRIFT_FRACTION) / 2 * (
-                1 if assumed else 20
+                1 if bounded_drift else 20
             )
             world.start(name, self.names, self.names[:3])
 
-    def run(self) -> Broken | None:
+    def run(self) -> Violation | None:
         """Play it; the first promise that is broken, if one is."""
         world, random = self.world, self.random
         world.run(FOUNDING, self._over)
-        world.default.loss, world.default.repeat = random.choice((0.0, 0.02, 0.1)), 0.05
+        world.default_link.loss, world.default_link.repeat = random.choice((0.0, 0.02, 0.1)), 0.05
         while world.now < SECONDS and self.broken is None:
             world.run(random.expovariate(1 / HARM_EVERY), self._over)
             self._harm()
@@ -109,7 +109,7 @@
             case "go on":
                 for one in world.hosts.values():
                     if one.stopped and random.random() < 0.6:
-                        world.go_on(one.name)
+                        world.resume(one.name)
             case "kill":
                 world.kill(host.name)
             case "restart":
@@ -122,7 +122,7 @@
             case "heal":
                 world.heal()
             case "step":
-                host.stepped += random.choice((-3600.0, -2.0, 2.0, 3600.0))
+                host.wall_clock_offset += random.choice((-3600.0, -2.0, 2.0, 3600.0))
 
     # The promises.
 
@@ -147,8 +147,8 @@
             if host.node is not None and host.node.owns(key, self.world.clock(host)):
                 yield host.name
 
-    def _break(self, promise: str, what: str) -> None:
-        self.broken = self.broken or Broken(self.seed, round(self.world.now, 4), promise, what)
+    def _break(self, invariant: str, description: str) -> None:
+        self.broken = self.broken or Violation(self.seed, round(self.world.now, 4), invariant, description)
 
 
 STEPS = 400  # of one run of ballots
@@ -161,7 +161,7 @@
 class Ballots:
     """One run of the members of one view that decide what follows it."""
 
-    def __init__(self, seed: int, assumed: bool = True) -> None:
+    def __init__(self, seed: int, bounded_drift: bool = True) -> None:
         self.seed, self.random, self.now = seed, Random(f"ballots {seed}"), 0.0
         size = self.random.choice((3, 3, 4, 5))
         peers = tuple(Peer(f"n{n}", n + 1, "", 0) for n in range(size))
@@ -172,7 +172,7 @@
         self.decided: tuple[ViewChange, float] | None = None
         self.slow = self.random.choice((None, *range(size)))  # what is sent there is mostly late
 
-    def run(self) -> Broken | None:
+    def run(self) -> Violation | None:
         """Play it; the first promise that is broken, if one is."""
         for _ in range(STEPS):
             self._step()
@@ -221,7 +221,7 @@
         elif not isinstance(message, m.Decided):  # others hear of it as late as can be
             self.members[to].receive(source, message, self.now, set())
 
-    def _look(self) -> Broken | None:
+    def _look(self) -> Violation | None:
         for one in self.members:
             if one.decided_change is not None and self.decided is None:
                 self.decided = one.decided_change, self.now
@@ -241,16 +241,16 @@
                 return self._broken("lease", f"n{n}'s ends {late:.3f} s too late")
         return None
 
-    def _broken(self, promise: str, what: str) -> Broken:
-        return Broken(self.seed, round(self.now, 4), promise, what)
+    def _broken(self, invariant: str, description: str) -> Violation:
+        return Violation(self.seed, round(self.now, 4), invariant, description)
 
 
-Kind = type[Schedule] | type[Ballots]
+RunType = type[Schedule] | type[Ballots]
 
 
-def search(kind: Kind, seeds: Iterable[int], assumed: bool = True) -> Broken | None:
+def search(kind: RunType, seeds: Iterable[int], bounded_drift: bool = True) -> Violation | None:
     """Play runs until one breaks a promise."""
     for seed in seeds:
-        if (broken := kind(seed, assumed).run()) is not None:
+        if (broken := kind(seed, bounded_drift).run()) is not None:
             return broken
     return None
--- a/violetdoor/faults/history.py
+++ b/violetdoor/faults/history.py
@@ -37,7 +37,7 @@
         """Put rows in order: what relays tell arrives a little late."""
         self.rows.sort(key=lambda row: row.at)
 
-    def of(self, *kinds: str) -> Iterator[Row]:
+    def of_kinds(self, *kinds: str) -> Iterator[Row]:
         """The rows of some kinds."""
         return (row for row in self.rows if row.kind in kinds)
 
--- a/violetdoor/faults/report.py
+++ b/violetdoor/faults/report.py
@@ -10,7 +10,7 @@
 OUT = ("fleet.removed", "fleet.left", "died", "down")  # from then on a relay stands in no view that counts
 
 
-def picture(history: History, path: Path, title: str) -> None:
+def draw_views(history: History, path: Path, title: str) -> None:
     """Draw it as PNG."""
     import matplotlib
 
@@ -18,7 +18,7 @@
     from matplotlib import pyplot as plt
 
     end = max((row.at for row in history.rows), default=1.0)
-    relays = sorted({row.who for row in history.of("started")})
+    relays = sorted({row.who for row in history.of_kinds("started")})
     figure, axes = plt.subplots(figsize=(WIDTH, 1.2 + ROW_HEIGHT * max(1, len(relays))))
     for begin, stop, what in _bands(history, end):
         axes.axvspan(begin, stop, color="tab:red", alpha=0.12, linewidth=0)
@@ -45,7 +45,7 @@
     """Each fault from when it began until it was undone."""
     open_: dict[tuple[str, str], float] = {}
     found = []
-    for row in history.of("fault", "undone"):
+    for row in history.of_kinds("fault", "undone"):
         key = row.values["fault"], row.values["what"]
         if row.kind == "fault":
             open_.setdefault(key, row.at)
--- a/violetdoor/faults/rig.py
+++ b/violetdoor/faults/rig.py
@@ -21,7 +21,7 @@
 
 import orjson
 
-from violetdoor.faults.actors import Client, Discovery, Gate
+from violetdoor.faults.actors import Client, Discovery, GateServer
 from violetdoor.faults.history import History
 from violetdoor.faults.links import Address, Links
 from violetdoor.faults.scenario import FaultLine, Scenario
@@ -81,7 +81,9 @@
         self.places = {name: n + 1 for n, name in enumerate(scenario.names)}
         self.fleet = {name: (self._host(name), FLEET_PORT) for name in scenario.names}
         self.links = Links(f"{self.net}.250", scenario.names, self.fleet, self.random)
-        self.gates = [Gate(f"s{n}", f"{self.net}.{200 + n}", self.note) for n in range(scenario.servers)]
+        self.gates = [
+            GateServer(f"s{n}", f"{self.net}.{200 + n}", self.note) for n in range(scenario.servers)
+        ]
         self.discovery = Discovery(self.gates)
         self.running: dict[str, Process] = {}
         self.processes: list[Process] = []
@@ -317,7 +319,7 @@
             case "upgrade":
                 await self.upgrade(who)
 
-    async def _on_gate(self, kind: str, gate: Gate) -> None:
+    async def _on_gate(self, kind: str, gate: GateServer) -> None:
         match kind:
             case "kill" if gate.name not in self.down_gates:
                 self.down_gates.add(gate.name)
@@ -359,7 +361,7 @@
             starting = [self._spawn(self.start(name)) for name in self.scenario.started()]
             for one in await asyncio.gather(*starting):
                 if one.process.returncode is not None:
-                    said = [str(r) for r in self.history.of("said", "error")][-3:]
+                    said = [str(r) for r in self.history.of_kinds("said", "error")][-3:]
                     raise RigError(f"{one.name} ended with {one.process.returncode}: {'; '.join(said)}")
                 self.running[one.name] = one
             await self._founded()
@@ -369,7 +371,7 @@
                 self._spawn(client.run())
             for name in self.scenario.names:
                 self._spawn(self._ask(name))
-            await self._time_line()
+            await self._play_timeline()
             self.tell_links()
         finally:
             await self._close()
@@ -382,8 +384,8 @@
             async with asyncio.timeout(FOUND_WITHIN):
                 while True:
                     await asyncio.sleep(0.1)
-                    views = {r.who: len(r.values["members"]) for r in self.history.of("fleet.view")}
-                    live = {r.who for r in self.history.of("fleet.lease_acquired")}
+                    views = {r.who: len(r.values["members"]) for r in self.history.of_kinds("fleet.view")}
+                    live = {r.who for r in self.history.of_kinds("fleet.lease_acquired")}
                     if len(live) == len(self.running) and set(views.values()) == {len(self.running)}:
                         return
         self.note("rig", "error", text=f"no first view of all within {FOUND_WITHIN:g} s")
@@ -391,7 +393,7 @@
     def _places(self) -> dict[str, Address]:
         return {n: (self._host(n), CLIENT_PORT) for n, one in self.running.items() if not one.stopped}
 
-    async def _time_line(self) -> None:
+    async def _play_timeline(self) -> None:
         start = self.loop.time()
         for line in sorted(self.scenario.fault, key=lambda f: f.at_s):
             await asyncio.sleep(max(0.0, start + line.at_s - self.loop.time()))
@@ -419,7 +421,7 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-async def play(scenario: Scenario, folder: Path | None = None, keep_logs: bool = False) -> History:
+async def run_scenario(scenario: Scenario, folder: Path | None = None, keep_logs: bool = False) -> History:
     """Play a scenario; its history."""
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
--- a/violetdoor/faults/scenario.py
+++ b/violetdoor/faults/scenario.py
@@ -111,7 +111,7 @@
             yield FieldViolation((*at, "for_s"), f"{one.kind!r} can't be undone")
 
 
-def read(path: Path) -> Scenario:
+def read_scenario(path: Path) -> Scenario:
     """A scenario's file; ConfigError with all its faults and their places."""
     data = read_table(path)
     try:
@@ -124,7 +124,7 @@
     return msgspec.structs.replace(scenario, name=scenario.name or path.stem)
 
 
-def written(scenario: Scenario) -> str:
+def scenario_to_toml(scenario: Scenario) -> str:
     """A scenario as TOML."""
 
     def value(one: Any) -> str:
@@ -148,7 +148,7 @@
 GAP = 2.5  # s between two drawn faults, on average
 
 
-def drawn(seed: int, seconds: float = 60.0) -> Scenario:
+def random_scenario(seed: int, seconds: float = 60.0) -> Scenario:
     """A random schedule: the same for the same seed."""
     random = Random(f"schedule {seed}")
     relays = random.choice([3, 3, 4, 5, 7])
--- a/violetdoor/faults/virtual.py
+++ b/violetdoor/faults/virtual.py
@@ -23,7 +23,7 @@
 
 DELAY = 0.0004, 0.0012  # s one way on a site's network
 RETRANSMIT = 0.2  # s that a lost segment of a call costs
-UNIX = 1.8e12  # ms at virtual time 0
+START_UNIX_MS = 1.8e12  # ms at virtual time 0
 
 
 @dataclass(slots=True)
@@ -43,12 +43,12 @@
     name: str
     address: Address
     node: Node | None = None
-    life: int = 0  # processes that ran here
+    generation: int = 0  # processes that ran here
     stopped: bool = False
     disk: DurableState | None = None  # what the last process kept
     held: list[tuple[Any, ...]] = field(default_factory=list)  # what came while it was stopped
     rate: float = 1.0  # of its monotonic clock
-    stepped: float = 0.0  # s by which its wall clock is off
+    wall_clock_offset: float = 0.0  # s by which its wall clock is off
     wakes_at: float = float("inf")
     sent = 0
     received = 0
@@ -63,14 +63,14 @@
         self.hosts: dict[str, Host] = {}
         self.by_address: dict[Address, Host] = {}
         self.links: dict[tuple[str, str], Link] = {}
-        self.default = Link()
+        self.default_link = Link()
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order = itertools.count()
         self.events: list[tuple[float, str, str, dict[str, Any]]] = []  # when, at whom, what
         self.encode = encode  # encode each packet, to count its bytes
-        self.bytes: Counter[str] = Counter()
-        self.longest = 0  # bytes of a datagram with its seal
-        self.watch: Callable[[], None] | None = None  # called after each step
+        self.sent_bytes: Counter[str] = Counter()
+        self.longest_datagram = 0  # bytes of a datagram with its seal
+        self.after_step: Callable[[], None] | None = None  # called after each step
 
     # Hosts.
 
@@ -80,7 +80,7 @@
         host = self.host(name)
         places = tuple(self.host(seed).address for seed in seeds)
         plan = NodeConfig(name, *host.address, zone, places, frozenset(founders), version)
-        host.life += 1
+        host.generation += 1
         host.stopped, host.held = False, []
         host.node = Node(plan, Random(self.random.getrandbits(64)), self.clock(host), lambda: self.unix(host),
                          host.disk if self.durable else None)  # fmt: skip
@@ -101,24 +101,24 @@
     def stop(self, name: str) -> None:
         self.hosts[name].stopped = True
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Continue a stopped process: first comes what waited at its sockets."""
         host = self.hosts[name]
         host.stopped, held, host.held = False, host.held, []
         for one in held[-256:]:  # a socket's buffer holds so much
-            self._push(self.now, self._arrive, *one)
-        self._push(self.now, self._wake, host, host.life)
+            self._schedule(self.now, self._deliver_datagram, *one)
+        self._schedule(self.now, self._wake_node, host, host.generation)
 
     def clock(self, host: Host) -> float:
         return 1000.0 + self.now * host.rate
 
     def unix(self, host: Host) -> float:
-        return UNIX + (self.now + host.stepped) * 1000
+        return START_UNIX_MS + (self.now + host.wall_clock_offset) * 1000
 
     # Links.
 
     def link(self, source: str, to: str) -> Link:
-        return self.links.get((source, to), self.default)
+        return self.links.get((source, to), self.default_link)
 
     def set_links(self, sources: Iterable[str], to: Iterable[str], both: bool = True, **values: Any) -> None:
         """Change all links from some hosts to others."""
@@ -126,7 +126,8 @@
             for b in to:
                 for pair in ((a, b), (b, a)) if both else ((a, b),):
                     link = self.links.setdefault(pair, Link(
-                        self.default.cut, self.default.loss, self.default.delay, self.default.repeat
+                        self.default_link.cut, self.default_link.loss,
+                        self.default_link.delay, self.default_link.repeat,
                     ))  # fmt: skip
                     for name, value in values.items():
                         setattr(link, name, value)
@@ -136,7 +137,7 @@
 
     # Time.
 
-    def _push(self, at: float, what: Callable[..., None], *values: Any) -> None:
+    def _schedule(self, at: float, what: Callable[..., None], *values: Any) -> None:
         heapq.heappush(self.queue, (at, next(self.order), what, values))
 
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
@@ -145,15 +146,15 @@
         while self.queue and self.queue[0][0] <= end:
             self.now, _, what, values = heapq.heappop(self.queue)
             what(*values)
-            if self.watch is not None:
-                self.watch()
+            if self.after_step is not None:
+                self.after_step()
             if until is not None and until():
                 return True
         self.now = end
         return until is not None and until()
 
-    def _wake(self, host: Host, life: int) -> None:
-        if host.life != life or host.node is None or host.stopped:
+    def _wake_node(self, host: Host, generation: int) -> None:
+        if host.generation != generation or host.node is None or host.stopped:
             return
         if self.clock(host) + 1e-9 < host.node.next_wake_at:
             self._plan_wake(host)
@@ -168,7 +169,7 @@
         if at < host.wakes_at - 1e-9 or host.wakes_at <= self.now:
             host.wakes_at = at
             if at < float("inf"):
-                self._push(at, self._wake, host, host.life)
+                self._schedule(at, self._wake_node, host, host.generation)
 
     def carry_out_actions(self, host: Host) -> None:
         node = host.node
@@ -178,16 +179,16 @@
         datagrams, calls, events = node.take_actions()
         self.events += [(self.now, host.name, e.name, e.values) for e in events]
         for address, packet in datagrams:
-            self._send(host, address, packet)
+            self._send_datagram(host, address, packet)
         for call in calls:
-            self._call(host, call.address, call.number, call.request, call.timeout)
+            self._send_request(host, call.address, call.number, call.request, call.timeout)
         self._plan_wake(host)
 
-    def _send(self, host: Host, address: Address, packet: m.Packet) -> None:
+    def _send_datagram(self, host: Host, address: Address, packet: m.Packet) -> None:
         if self.encode:
             length = len(m.encode(packet)) + TAG_BYTES
-            self.bytes[host.name] += length + 28  # and the headers of IP and UDP
-            self.longest = max(self.longest, length)
+            self.sent_bytes[host.name] += length + 28  # and the headers of IP and UDP
+            self.longest_datagram = max(self.longest_datagram, length)
             if length > m.MAX_DATAGRAM_BYTES:  # as the endpoint does
                 return
         to = self.by_address.get(address)
@@ -197,13 +198,13 @@
         for _ in range(1 + (self.random.random() < link.repeat)):
             if not link.cut and self.random.random() >= link.loss:
                 at = self.now + self.random.uniform(*link.delay)
-                self._push(at, self._arrive, to, to.life, packet, host.address)
+                self._schedule(at, self._deliver_datagram, to, to.generation, packet, host.address)
 
-    def _arrive(self, host: Host, life: int, packet: m.Packet, source: Address) -> None:
+    def _deliver_datagram(self, host: Host, generation: int, packet: m.Packet, source: Address) -> None:
         if host.node is None:
             return
         if host.stopped:
-            host.held.append((host, life, packet, source))
+            host.held.append((host, generation, packet, source))
             return
         host.node.receive(packet, source, self.clock(host))
         self.carry_out_actions(host)
@@ -220,36 +221,55 @@
             delay += RETRANSMIT
         return delay
 
-    def _call(self, host: Host, address: Address, number: int, request: m.Request, within: float) -> None:
+    def _send_request(
+        self, host: Host, address: Address, number: int, request: m.Request, within: float
+    ) -> None:
         to = self.by_address.get(address)
         way = None if to is None else self._way(host.name, to.name)
         if to is None or way is None or to.node is None or to.stopped or way > within:
             refused = to is not None and way is not None and to.node is None
             at = self.now + ((way or 0.0) if refused else within)
-            self._push(at, self._answered, host, host.life, number, None, refused)
+            self._schedule(at, self._deliver_response, host, host.generation, number, None, refused)
             return
         until = self.now + within
-        self._push(self.now + way, self._asked, host, host.life, to, to.life, number, request, until)
-
-    def _asked(
-        self, host: Host, life: int, to: Host, to_life: int, number: int, request: m.Request, until: float
+        self._schedule(
+            self.now + way,
+            self._deliver_request,
+            host,
+            host.generation,
+            to,
+            to.generation,
+            number,
+            request,
+            until,
+        )
+
+    def _deliver_request(
+        self,
+        host: Host,
+        generation: int,
+        to: Host,
+        to_generation: int,
+        number: int,
+        request: m.Request,
+        until: float,
     ) -> None:
         answer, back = None, self._way(to.name, host.name)
-        if to.life == to_life and to.node is not None and not to.stopped:
+        if to.generation == to_generation and to.node is not None and not to.stopped:
             answer = to.node.handle_request(request, self.clock(to))
             self.carry_out_actions(to)
         if back is None or self.now + back > until:
-            self._push(until, self._answered, host, life, number, None)
+            self._schedule(until, self._deliver_response, host, generation, number, None)
         else:
-            self._push(self.now + back, self._answered, host, life, number, answer)
+            self._schedule(self.now + back, self._deliver_response, host, generation, number, answer)
 
-    def _answered(
-        self, host: Host, life: int, number: int, answer: m.Response | None, refused: bool = False
+    def _deliver_response(
+        self, host: Host, generation: int, number: int, answer: m.Response | None, refused: bool = False
     ) -> None:
-        if host.life != life or host.node is None:
+        if host.generation != generation or host.node is None:
             return
         if host.stopped:
-            self._push(self.now + 0.05, self._answered, host, life, number, answer, refused)
+            self._schedule(self.now + 0.05, self._deliver_response, host, generation, number, answer, refused)
             return
         host.node.handle_response(number, answer, self.clock(host), refused=refused)
         self.carry_out_actions(host)
