--- a/tests/recorded/virtual_worlds.py
+++ b/tests/recorded/virtual_worlds.py
@@ -67,7 +67,7 @@
         schedule = explore.Schedule(seed)
         assert schedule.run() is None
     kept = {
-        host.name: hashlib.blake2b(encode(host.disk), digest_size=16).hexdigest()
+        host.name: hashlib.blake2b(encode(host.stored_state), digest_size=16).hexdigest()
         for host in schedule.world.hosts.values()
     }
     return carried.result() | {"kept": kept}
--- a/violetdoor/faults/virtual.py
+++ b/violetdoor/faults/virtual.py
@@ -1,7 +1,7 @@
-"""A fleet in virtual time: nodes, links that fail, processes that die, stop and come back.
+"""Simulation of a fleet in virtual time: nodes, failing links, and processes that die, stop and restart.
 
-No sockets, no clocks: one heap of events, one random generator: the same seed gives the same run.
-Datagrams and calls go through the same links; a call is as good as TCP, so loss only delays it.
+There are no sockets and no real clocks, only one event queue and one random generator, so the same seed gives
+the same run. Datagrams and requests use the same links. Requests behave as on TCP: loss only delays them.
 """
 
 from __future__ import annotations
@@ -21,44 +21,46 @@
 from violetdoor.fleet.stored_state import DurableState
 from violetdoor.fleet.view import Address
 
-DELAY = 0.0004, 0.0012  # s one way on a site's network
-RETRANSMIT = 0.2  # s that a lost segment of a call costs
-START_UNIX_MS = 1.8e12  # ms at virtual time 0
+LAN_DELAY_SECONDS = 0.0004, 0.0012  # range of the one-way delay in a local network
+RETRANSMIT_SECONDS = 0.2  # delay that each lost segment adds to a request or response
+START_UNIX_MS = 1.8e12  # Unix time (ms) at virtual time 0
 
 
 @dataclass(slots=True)
 class Link:
-    """One way from one host to another."""
+    """One direction of the link between two hosts."""
 
     cut: bool = False
-    loss: float = 0.0
-    delay: tuple[float, float] = DELAY
-    repeat: float = 0.0  # part of the datagrams that come twice
+    loss: float = 0.0  # fraction of the packets lost
+    delay: tuple[float, float] = LAN_DELAY_SECONDS  # range in seconds, drawn for each packet
+    repeat: float = 0.0  # fraction of the datagrams that are duplicated
 
 
 @dataclass(eq=False)
 class Host:
-    """One relay's place: its process, if one runs, and its clock."""
+    """The simulated host of one relay: its process, if one runs, and its clocks."""
 
     name: str
     address: Address
     node: Node | None = None
-    generation: int = 0  # processes that ran here
-    stopped: bool = False
-    disk: DurableState | None = None  # what the last process kept
-    held: list[tuple[Any, ...]] = field(default_factory=list)  # what came while it was stopped
-    rate: float = 1.0  # of its monotonic clock
-    wall_clock_offset: float = 0.0  # s by which its wall clock is off
+    generation: int = 0  # number of processes started here; events of earlier ones are ignored
+    stopped: bool = False  # as by SIGSTOP
+    stored_state: DurableState | None = None  # durable state of the last process
+    queued_packets: list[tuple[Any, ...]] = field(
+        default_factory=list
+    )  # arguments of deliveries while it was stopped
+    clock_rate: float = 1.0  # of its monotonic clock, relative to virtual time
+    wall_clock_offset: float = 0.0  # seconds that its wall clock is ahead of virtual time
     wakes_at: float = float("inf")
     sent = 0
     received = 0
 
 
 class World:
-    """All hosts, their links, and the time."""
+    """All hosts, their links and virtual time."""
 
     def __init__(self, seed: int, encode: bool = False, durable: bool = True) -> None:
-        self.durable = durable  # processes keep what they must not forget
+        self.durable = durable  # whether a restarted process gets the durable state of the one before it
         self.random, self.now = Random(seed), 0.0
         self.hosts: dict[str, Host] = {}
         self.by_address: dict[Address, Host] = {}
@@ -66,29 +68,30 @@
         self.default_link = Link()
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order = itertools.count()
-        self.events: list[tuple[float, str, str, dict[str, Any]]] = []  # when, at whom, what
-        self.encode = encode  # encode each packet, to count its bytes
+        self.events: list[tuple[float, str, str, dict[str, Any]]] = []  # virtual time, host, name, values
+        self.encode = encode  # encode each datagram to count its bytes
         self.sent_bytes: Counter[str] = Counter()
-        self.longest_datagram = 0  # bytes of a datagram with its seal
-        self.after_step: Callable[[], None] | None = None  # called after each step
+        self.longest_datagram = 0  # bytes, with the authentication tag
+        self.after_step: Callable[[], None] | None = None  # called after each event
 
     # Hosts.
 
     def start(self, name: str, founders: Iterable[str] = (), seeds: Iterable[str] = (), zone: str = "",
               version: int = m.PROTOCOL_VERSION) -> Host:  # fmt: skip
-        """Start a process at this host."""
+        """Start a process at a host."""
         host = self.host(name)
-        places = tuple(self.host(seed).address for seed in seeds)
-        plan = NodeConfig(name, *host.address, zone, places, frozenset(founders), version)
+        seed_addresses = tuple(self.host(seed).address for seed in seeds)
+        config = NodeConfig(name, *host.address, zone, seed_addresses, frozenset(founders), version)
         host.generation += 1
-        host.stopped, host.held = False, []
-        host.node = Node(plan, Random(self.random.getrandbits(64)), self.clock(host), lambda: self.unix(host),
-                         host.disk if self.durable else None)  # fmt: skip
+        host.stopped, host.queued_packets = False, []
+        host.node = Node(config, Random(self.random.getrandbits(64)), self.clock(host),
+                         lambda: self.wall_clock_ms(host),
+                         host.stored_state if self.durable else None)  # fmt: skip
         self.carry_out_actions(host)
         return host
 
     def host(self, name: str) -> Host:
-        """The place of this name, made when it is first spoken of."""
+        """Return the host of this name; create it on first use."""
         if name not in self.hosts:
             count = len(self.hosts)
             host = self.hosts[name] = Host(name, (f"10.{count >> 8}.{count & 255}.1", 7946))
@@ -102,17 +105,17 @@
         self.hosts[name].stopped = True
 
     def resume(self, name: str) -> None:
-        """Continue a stopped process: first comes what waited at its sockets."""
+        """Resume a stopped process; it first receives the datagrams queued at its socket."""
         host = self.hosts[name]
-        host.stopped, held, host.held = False, host.held, []
-        for one in held[-256:]:  # a socket's buffer holds so much
-            self._schedule(self.now, self._deliver_datagram, *one)
+        host.stopped, queued, host.queued_packets = False, host.queued_packets, []
+        for delivery in queued[-256:]:  # the socket buffer keeps at most 256 datagrams
+            self._schedule(self.now, self._deliver_datagram, *delivery)
         self._schedule(self.now, self._wake_node, host, host.generation)
 
     def clock(self, host: Host) -> float:
-        return 1000.0 + self.now * host.rate
+        return 1000.0 + self.now * host.clock_rate
 
-    def unix(self, host: Host) -> float:
+    def wall_clock_ms(self, host: Host) -> float:
         return START_UNIX_MS + (self.now + host.wall_clock_offset) * 1000
 
     # Links.
@@ -121,7 +124,7 @@
         return self.links.get((source, to), self.default_link)
 
     def set_links(self, sources: Iterable[str], to: Iterable[str], both: bool = True, **values: Any) -> None:
-        """Change all links from some hosts to others."""
+        """Set attributes of all links from some hosts to others; `both`: also of those back."""
         for a in sources:
             for b in to:
                 for pair in ((a, b), (b, a)) if both else ((a, b),):
@@ -137,15 +140,15 @@
 
     # Time.
 
-    def _schedule(self, at: float, what: Callable[..., None], *values: Any) -> None:
-        heapq.heappush(self.queue, (at, next(self.order), what, values))
+    def _schedule(self, at: float, callback: Callable[..., None], *args: Any) -> None:
+        heapq.heappush(self.queue, (at, next(self.order), callback, args))
 
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
-        """Let time pass; whether the state came that was waited for."""
+        """Advance virtual time until a condition holds, at most `seconds`; return whether it holds."""
         end = self.now + seconds
         while self.queue and self.queue[0][0] <= end:
-            self.now, _, what, values = heapq.heappop(self.queue)
-            what(*values)
+            self.now, _, callback, args = heapq.heappop(self.queue)
+            callback(*args)
             if self.after_step is not None:
                 self.after_step()
             if until is not None and until():
@@ -157,15 +160,15 @@
         if host.generation != generation or host.node is None or host.stopped:
             return
         if self.clock(host) + 1e-9 < host.node.next_wake_at:
-            self._plan_wake(host)
+            self._schedule_wake(host)
             return
         host.wakes_at = float("inf")
         host.node.wake(self.clock(host))
         self.carry_out_actions(host)
 
-    def _plan_wake(self, host: Host) -> None:
+    def _schedule_wake(self, host: Host) -> None:
         assert host.node is not None
-        at = max(self.now, self.now + (host.node.next_wake_at - self.clock(host)) / host.rate)
+        at = max(self.now, self.now + (host.node.next_wake_at - self.clock(host)) / host.clock_rate)
         if at < host.wakes_at - 1e-9 or host.wakes_at <= self.now:
             host.wakes_at = at
             if at < float("inf"):
@@ -175,21 +178,21 @@
         node = host.node
         if node is None:
             return
-        host.disk = node.durable_state
+        host.stored_state = node.durable_state
         datagrams, calls, events = node.take_actions()
         self.events += [(self.now, host.name, e.name, e.values) for e in events]
         for address, packet in datagrams:
             self._send_datagram(host, address, packet)
         for call in calls:
             self._send_request(host, call.address, call.number, call.request, call.timeout)
-        self._plan_wake(host)
+        self._schedule_wake(host)
 
     def _send_datagram(self, host: Host, address: Address, packet: m.Packet) -> None:
         if self.encode:
             length = len(m.encode(packet)) + TAG_BYTES
-            self.sent_bytes[host.name] += length + 28  # and the headers of IP and UDP
+            self.sent_bytes[host.name] += length + 28  # 28 bytes of IP and UDP headers
             self.longest_datagram = max(self.longest_datagram, length)
-            if length > m.MAX_DATAGRAM_BYTES:  # as the endpoint does
+            if length > m.MAX_DATAGRAM_BYTES:  # the endpoint drops it, too
                 return
         to = self.by_address.get(address)
         if to is None:
@@ -204,36 +207,36 @@
         if host.node is None:
             return
         if host.stopped:
-            host.held.append((host, generation, packet, source))
+            host.queued_packets.append((host, generation, packet, source))
             return
         host.node.receive(packet, source, self.clock(host))
         self.carry_out_actions(host)
 
-    # Calls.
+    # Requests and responses.
 
-    def _way(self, source: str, to: str) -> float | None:
-        """How long a call's words take one way, or nothing where they don't come through."""
+    def _one_way_delay(self, source: str, to: str) -> float | None:
+        """Draw the delay of a request or response in seconds; None if the link is unusable."""
         link = self.link(source, to)
         if link.cut or self.link(to, source).cut or link.loss >= 1:
             return None
-        delay = 2 * self.random.uniform(*link.delay)  # a connection is opened first
+        delay = 2 * self.random.uniform(*link.delay)  # doubled for the connection setup
         while self.random.random() < link.loss:
-            delay += RETRANSMIT
+            delay += RETRANSMIT_SECONDS
         return delay
 
     def _send_request(
-        self, host: Host, address: Address, number: int, request: m.Request, within: float
+        self, host: Host, address: Address, number: int, request: m.Request, timeout: float
     ) -> None:
         to = self.by_address.get(address)
-        way = None if to is None else self._way(host.name, to.name)
-        if to is None or way is None or to.node is None or to.stopped or way > within:
-            refused = to is not None and way is not None and to.node is None
-            at = self.now + ((way or 0.0) if refused else within)
+        delay = None if to is None else self._one_way_delay(host.name, to.name)
+        if to is None or delay is None or to.node is None or to.stopped or delay > timeout:
+            refused = to is not None and delay is not None and to.node is None
+            at = self.now + ((delay or 0.0) if refused else timeout)
             self._schedule(at, self._deliver_response, host, host.generation, number, None, refused)
             return
-        until = self.now + within
+        deadline = self.now + timeout
         self._schedule(
-            self.now + way,
+            self.now + delay,
             self._deliver_request,
             host,
             host.generation,
@@ -241,7 +244,7 @@
             to.generation,
             number,
             request,
-            until,
+            deadline,
         )
 
     def _deliver_request(
@@ -252,32 +255,36 @@
         to_generation: int,
         number: int,
         request: m.Request,
-        until: float,
+        deadline: float,
     ) -> None:
-        answer, back = None, self._way(to.name, host.name)
+        response, return_delay = None, self._one_way_delay(to.name, host.name)
         if to.generation == to_generation and to.node is not None and not to.stopped:
-            answer = to.node.handle_request(request, self.clock(to))
+            response = to.node.handle_request(request, self.clock(to))
             self.carry_out_actions(to)
-        if back is None or self.now + back > until:
-            self._schedule(until, self._deliver_response, host, generation, number, None)
+        if return_delay is None or self.now + return_delay > deadline:
+            self._schedule(deadline, self._deliver_response, host, generation, number, None)
         else:
-            self._schedule(self.now + back, self._deliver_response, host, generation, number, answer)
+            self._schedule(
+                self.now + return_delay, self._deliver_response, host, generation, number, response
+            )
 
     def _deliver_response(
-        self, host: Host, generation: int, number: int, answer: m.Response | None, refused: bool = False
+        self, host: Host, generation: int, number: int, response: m.Response | None, refused: bool = False
     ) -> None:
         if host.generation != generation or host.node is None:
             return
         if host.stopped:
-            self._schedule(self.now + 0.05, self._deliver_response, host, generation, number, answer, refused)
+            self._schedule(
+                self.now + 0.05, self._deliver_response, host, generation, number, response, refused
+            )
             return
-        host.node.handle_response(number, answer, self.clock(host), refused=refused)
+        host.node.handle_response(number, response, self.clock(host), refused=refused)
         self.carry_out_actions(host)
 
-    # What is seen of it all.
+    # Observations.
 
     def views(self, names: Iterable[str] | None = None) -> set[str]:
-        """The numbers and digests of the views that running nodes stand at."""
+        """Return the distinct views of running nodes, each as its id and digest, or "none"."""
         found = set()
         for name in self.hosts if names is None else names:
             node = self.hosts[name].node
@@ -286,7 +293,7 @@
         return found
 
     def settled(self, names: Iterable[str]) -> bool:
-        """Whether just these are members of one view, and all hold a lease."""
+        """Return whether these hosts share a view with exactly them as members, and all hold a lease."""
         wanted = sorted(names)
         for name in wanted:
             host = self.hosts[name]
