--- a/violetdoor/faults/explore.py
+++ b/violetdoor/faults/explore.py
@@ -1,21 +1,21 @@
-"""Searches over interleavings of the fleet's decisions: the code of service, under hostile schedulers.
+"""Randomized searches over interleavings of the fleet's decisions: production code, adversarial schedulers.
 
-`Schedule` plays whole nodes. Each step draws what a network and its machines may do at any moment: a packet
-comes at once, late, twice or never; a process lies still, dies, or comes back with what it kept; a clock
-runs fast, or is set back. After each step two promises are looked at over all processes, those that lie
-still too:
+`Schedule` runs whole nodes. Each step draws what a network and its machines may do at any moment: a packet
+arrives at once, late, twice or never; a process is stopped, dies, or restarts with its durable state; a clock
+runs fast or is set back. After each step two invariants are checked across all processes, including stopped
+ones:
 
-- two nodes that stand at a view of one number stand at the same members;
-- a key has one owner at a time.
+- two nodes at views with the same id have the same members;
+- a key has at most one owner at a time.
 
-`Ballots` plays the agreement and the leases of one view alone, where nothing limits the order of messages
-but chance, and looks at what those promises rest on:
+`Ballots` runs only the agreement and the leases of one view, with messages in random order, and checks the
+invariants that those of `Schedule` rely on:
 
-- one change follows a view;
-- a lease under it ends within LEASE_DURATION_SECONDS of the decision.
+- at most one change is decided after a view;
+- a lease under that view ends within LEASE_DURATION_SECONDS of the decision.
 
-Assumed, and kept by both: clocks differ in rate by less than `lease.MAX_CLOCK_DRIFT_FRACTION`, and what a
-process kept is there when it comes back. `assumed=False` drops the first.
+Both respect two assumptions: clock rates differ by less than `lease.MAX_CLOCK_DRIFT_FRACTION`, and a
+restarted process has its durable state. `bounded_drift=False` drops the first.
 """
 
 from __future__ import annotations
@@ -31,30 +31,30 @@
 from violetdoor.fleet.lease import LEASE_DURATION_SECONDS, MAX_CLOCK_DRIFT_FRACTION, Lease
 from violetdoor.fleet.view import Address, Peer, View, ViewChange
 
-SECONDS = 25.0  # of one schedule: founding takes 4, a crash, a new view and its lease 4 more
-FOUNDING = 4.5  # s at the start without harm, so that there is a fleet to be harmed
-QUICKEST, SLOWEST = 0.0002, 2.0  # s that a packet takes; drawn evenly over their logarithm
-QUICK = 0.7  # part of the packets that come within 2 ms: without them nothing is ever decided
-KEYS = 12  # looked at: with so many each of five members owns some
-HARM_EVERY = 0.5  # s between two harms of processes, on average
-KEYS_EVERY = 0.002  # s between two looks at owners: leases don't change by less
+SCHEDULE_SECONDS = 25.0  # length of one run; founding takes 4 s, a crash with its new view and lease 4 s
+FOUNDING_SECONDS = 4.5  # without faults, so that the fleet is founded first
+MIN_DELAY_SECONDS, MAX_DELAY_SECONDS = 0.0002, 2.0  # of a packet; drawn from a log-uniform distribution
+FAST_FRACTION = 0.7  # fraction of the packets that arrive within 2 ms; without them nothing is ever decided
+KEY_COUNT = 12  # keys whose owners are checked; with 12, each of five members owns some
+FAULT_INTERVAL_SECONDS = 0.5  # mean time between two injected faults
+OWNER_CHECK_INTERVAL_SECONDS = 0.002  # leases don't change on a shorter time scale
 
 
-HARMS = ("stop", "stop", "go on", "kill", "restart", "restart", "cut", "heal", "heal", "step")
+FAULT_KINDS = ("stop", "stop", "go on", "kill", "restart", "restart", "cut", "heal", "heal", "step")
 
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """A promise that a schedule broke."""
+    """A violated invariant and the run that shows it."""
 
     seed: int
-    at: float
+    at: float  # virtual time in seconds
     invariant: str
     description: str
 
 
-class Hostile(World):
-    """A world whose links take as long as they like."""
+class HostileWorld(World):
+    """A world whose links delay packets arbitrarily, so that they overtake each other."""
 
     def _send_datagram(self, host: Host, address: Address, packet: m.Packet) -> None:
         to = self.by_address.get(address)
@@ -64,102 +64,106 @@
         for _ in range(1 + (self.random.random() < link.repeat)):
             if link.cut or self.random.random() < link.loss:
                 continue
-            slowest = 0.002 if self.random.random() < QUICK else SLOWEST
-            delay = math.exp(self.random.uniform(math.log(QUICKEST), math.log(slowest)))
+            slowest = 0.002 if self.random.random() < FAST_FRACTION else MAX_DELAY_SECONDS
+            delay = math.exp(self.random.uniform(math.log(MIN_DELAY_SECONDS), math.log(slowest)))
             self._schedule(self.now + delay, self._deliver_datagram, to, to.generation, packet, host.address)
 
 
 class Schedule:
-    """One run of some nodes."""
+    """One run of several nodes under a random fault schedule."""
 
     def __init__(self, seed: int, bounded_drift: bool = True) -> None:
         self.seed, self.random = seed, Random(f"schedule {seed}")
-        self.world = world = Hostile(seed)
-        world.after_step = self._look
+        self.world = world = HostileWorld(seed)
+        world.after_step = self._check_invariants
         self.names = [f"n{n}" for n in range(self.random.choice((3, 3, 4, 5)))]
-        self.broken: Violation | None = None
-        self.members: dict[str, str] = {}  # digest by number
-        self.looked = 0.0
+        self.violation: Violation | None = None
+        self.digests: dict[str, str] = {}  # digest of the members by view id
+        self.owners_checked_at = 0.0
         for name in self.names:
             host = world.host(name)
-            host.rate = 1 + self.random.uniform(-MAX_CLOCK_DRIFT_FRACTION, MAX_CLOCK_DRIFT_FRACTION) / 2 * (
-                1 if bounded_drift else 20
-            )
+            host.clock_rate = 1 + self.random.uniform(
+                -MAX_CLOCK_DRIFT_FRACTION, MAX_CLOCK_DRIFT_FRACTION
+            ) / 2 * (1 if bounded_drift else 20)
             world.start(name, self.names, self.names[:3])
 
     def run(self) -> Violation | None:
-        """Play it; the first promise that is broken, if one is."""
+        """Run the schedule; return the first violation, if any."""
         world, random = self.world, self.random
-        world.run(FOUNDING, self._over)
+        world.run(FOUNDING_SECONDS, self._is_over)
         world.default_link.loss, world.default_link.repeat = random.choice((0.0, 0.02, 0.1)), 0.05
-        while world.now < SECONDS and self.broken is None:
-            world.run(random.expovariate(1 / HARM_EVERY), self._over)
-            self._harm()
-        return self.broken
+        while world.now < SCHEDULE_SECONDS and self.violation is None:
+            world.run(random.expovariate(1 / FAULT_INTERVAL_SECONDS), self._is_over)
+            self._inject_fault()
+        return self.violation
 
-    def _over(self) -> bool:
-        return self.broken is not None
+    def _is_over(self) -> bool:
+        return self.violation is not None
 
-    def _harm(self) -> None:
+    def _inject_fault(self) -> None:
         world, random = self.world, self.random
         host = world.hosts[random.choice(self.names)]
-        match random.choice(HARMS):
+        match random.choice(FAULT_KINDS):
             case "stop" if host.node is not None:
                 world.stop(host.name)
             case "go on":
-                for one in world.hosts.values():
-                    if one.stopped and random.random() < 0.6:
-                        world.resume(one.name)
+                for other in world.hosts.values():
+                    if other.stopped and random.random() < 0.6:
+                        world.resume(other.name)
             case "kill":
                 world.kill(host.name)
             case "restart":
-                for one in [o for o in world.hosts.values() if o.node is None]:
-                    world.start(one.name, self.names, self.names[:3])
+                for dead in [other for other in world.hosts.values() if other.node is None]:
+                    world.start(dead.name, self.names, self.names[:3])
             case "cut":
-                some = random.sample(self.names, random.randint(1, len(self.names) - 1))
-                others = [n for n in self.names if n not in some]
-                world.set_links(some, others, random.random() < 0.7, cut=True)
+                side = random.sample(self.names, random.randint(1, len(self.names) - 1))
+                others = [n for n in self.names if n not in side]
+                world.set_links(side, others, random.random() < 0.7, cut=True)
             case "heal":
                 world.heal()
             case "step":
                 host.wall_clock_offset += random.choice((-3600.0, -2.0, 2.0, 3600.0))
 
-    # The promises.
+    # Invariants.
 
-    def _look(self) -> None:
+    def _check_invariants(self) -> None:
         world = self.world
         for host in world.hosts.values():
             view = None if host.node is None else host.node.view
-            if view is not None and self.members.setdefault(str(view.id), view.digest) != view.digest:
-                self._break("numbers", f"view {view.id} at {host.name} has other members than before")
-        if world.now < self.looked + KEYS_EVERY:
+            if view is not None and self.digests.setdefault(str(view.id), view.digest) != view.digest:
+                self._record_violation(
+                    "numbers", f"view {view.id} at {host.name} has other members than before"
+                )
+        if world.now < self.owners_checked_at + OWNER_CHECK_INTERVAL_SECONDS:
             return
-        self.looked = world.now
-        for n in range(KEYS):
+        self.owners_checked_at = world.now
+        for n in range(KEY_COUNT):
             owners = list(self._owners(f"k{n}"))
             if len(owners) > 1:
                 views = {o: str(node.view.id) for o in owners if (node := world.hosts[o].node) and node.view}
-                self._break("owners", f"k{n} has the owners {views}")
+                self._record_violation("owners", f"k{n} has the owners {views}")
 
     def _owners(self, key: str) -> Iterable[str]:
         for host in self.world.hosts.values():
-            # One that lies still may have asked just before, and act on the answer just after it wakes.
+            # A stopped process may have checked its ownership just before and act just after it resumes.
             if host.node is not None and host.node.owns(key, self.world.clock(host)):
                 yield host.name
 
-    def _break(self, invariant: str, description: str) -> None:
-        self.broken = self.broken or Violation(self.seed, round(self.world.now, 4), invariant, description)
+    def _record_violation(self, invariant: str, description: str) -> None:
+        self.violation = self.violation or Violation(
+            self.seed, round(self.world.now, 4), invariant, description
+        )
 
 
-STEPS = 400  # of one run of ballots
-ADVANCE = 0.2, 0.6, 1.5  # s that pass at once
-TWICE = 0.15  # part of the messages that come once more, later
-LATE = 0.85  # part of the times that a message to a slow member is passed over
-PENDING_MOST = 80  # messages on their way: beyond it the oldest are lost, so that a run goes on
+STEPS_PER_RUN = 400  # of one run of `Ballots`
+TIME_STEPS_SECONDS = 0.2, 0.6, 1.5  # by which the clock may advance in one step
+DUPLICATE_FRACTION = 0.15  # fraction of the deliveries after which the message is delivered again later
+SLOW_SKIP_PROBABILITY = 0.85  # that a drawn message to the slow member is not delivered yet
+MAX_PENDING = 80  # messages in flight; beyond it the oldest are lost, so that a run makes progress
 
 
 class Ballots:
-    """One run of the members of one view that decide what follows it."""
+    """One run in which the members of one view agree on the change that follows it."""
 
     def __init__(self, seed: int, bounded_drift: bool = True) -> None:
         self.seed, self.random, self.now = seed, Random(f"ballots {seed}"), 0.0
@@ -168,29 +172,29 @@
         self.view = View(1, 1, peers)
         self.members = [Agreement(self.view, p.name, self.random) for p in peers]
         self.leases: list[Lease | None] = [Lease(size, n, self.random) for n in range(size)]
-        self.pending: list[tuple[int, int, m.Message | m.HeartbeatRound]] = []  # to, from, what
+        self.pending: list[tuple[int, int, m.Message | m.HeartbeatRound]] = []  # receiver, sender, message
         self.decided: tuple[ViewChange, float] | None = None
-        self.slow = self.random.choice((None, *range(size)))  # what is sent there is mostly late
+        self.slow = self.random.choice((None, *range(size)))  # member whose messages are mostly late
 
     def run(self) -> Violation | None:
-        """Play it; the first promise that is broken, if one is."""
-        for _ in range(STEPS):
+        """Run all steps; return the first violation, if any."""
+        for _ in range(STEPS_PER_RUN):
             self._step()
-            if (broken := self._look()) is not None:
-                return broken
+            if (found := self._check_invariants()) is not None:
+                return found
         return None
 
     def _step(self) -> None:
         random, n = self.random, self.random.randrange(len(self.members))
         match random.choices(("deliver", "heartbeat", "propose", "time", "restart"), (60, 20, 6, 8, 1))[0]:
             case "deliver" if self.pending:
-                at = random.randrange(len(self.pending))
-                to, source, message = self.pending[at]
-                if to == self.slow and random.random() < LATE:
+                index = random.randrange(len(self.pending))
+                to, source, message = self.pending[index]
+                if to == self.slow and random.random() < SLOW_SKIP_PROBABILITY:
                     return
-                if random.random() > TWICE:
-                    del self.pending[at]
-                self._take(to, source, message)
+                if random.random() > DUPLICATE_FRACTION:
+                    del self.pending[index]
+                self._deliver(to, source, message)
             case "heartbeat" if (lease := self.leases[n]) is not None:
                 lease.frozen = lease.frozen or self.members[n].frozen
                 lease.wake(self.now, is_first_alive=True)
@@ -201,36 +205,36 @@
                 change = ViewChange(dead=(random.randrange(len(self.members)),))
                 self.members[n].propose(change, self.now)
             case "time":
-                self.now += random.choice(ADVANCE)
-                for one in self.members:
-                    one.wake(self.now)
+                self.now += random.choice(TIME_STEPS_SECONDS)
+                for member in self.members:
+                    member.wake(self.now)
             case "restart":
                 state = self.members[n].durable_state
                 self.members[n] = Agreement.restore(state, self.view.members[n].name, random)
-                self.leases[n] = None  # its life is over; as an acceptor it goes on
-        for source, one in enumerate(self.members):
-            self.pending += [(to, source, message) for to, message in one.outgoing]
-            one.outgoing.clear()
-        del self.pending[:-PENDING_MOST]
+                self.leases[n] = None  # its leases are lost; it continues as an acceptor
+        for source, member in enumerate(self.members):
+            self.pending += [(to, source, message) for to, message in member.outgoing]
+            member.outgoing.clear()
+        del self.pending[:-MAX_PENDING]
 
-    def _take(self, to: int, source: int, message: m.Message | m.HeartbeatRound) -> None:
+    def _deliver(self, to: int, source: int, message: m.Message | m.HeartbeatRound) -> None:
         if isinstance(message, m.HeartbeatRound):
             if (lease := self.leases[to]) is not None:
                 lease.frozen = lease.frozen or self.members[to].frozen
                 lease.receive(message, self.now)
-        elif not isinstance(message, m.Decided):  # others hear of it as late as can be
+        elif not isinstance(message, m.Decided):  # decisions are never delivered: the latest possible case
             self.members[to].receive(source, message, self.now, set())
 
-    def _look(self) -> Violation | None:
-        for one in self.members:
-            if one.decided_change is not None and self.decided is None:
-                self.decided = one.decided_change, self.now
+    def _check_invariants(self) -> Violation | None:
+        for member in self.members:
+            if member.decided_change is not None and self.decided is None:
+                self.decided = member.decided_change, self.now
             if (
-                one.decided_change is not None
+                member.decided_change is not None
                 and self.decided is not None
-                and one.decided_change != self.decided[0]
+                and member.decided_change != self.decided[0]
             ):
-                return self._broken("one change", f"{one.decided_change} after {self.decided[0]}")
+                return self._violation("one change", f"{member.decided_change} after {self.decided[0]}")
         for n, lease in enumerate(self.leases):
             if (
                 lease is not None
@@ -238,10 +242,10 @@
                 and lease.expires_at > self.decided[1] + LEASE_DURATION_SECONDS
             ):
                 late = lease.expires_at - self.decided[1] - LEASE_DURATION_SECONDS
-                return self._broken("lease", f"n{n}'s ends {late:.3f} s too late")
+                return self._violation("lease", f"the lease of n{n} ends {late:.3f} s too late")
         return None
 
-    def _broken(self, invariant: str, description: str) -> Violation:
+    def _violation(self, invariant: str, description: str) -> Violation:
         return Violation(self.seed, round(self.now, 4), invariant, description)
 
 
@@ -249,8 +253,8 @@
 
 
 def search(kind: RunType, seeds: Iterable[int], bounded_drift: bool = True) -> Violation | None:
-    """Play runs until one breaks a promise."""
+    """Run seeds until one violates an invariant; return that violation, or None."""
     for seed in seeds:
-        if (broken := kind(seed, bounded_drift).run()) is not None:
-            return broken
+        if (found := kind(seed, bounded_drift).run()) is not None:
+            return found
     return None
