--- a/violetdoor/faults/explore.py
+++ b/violetdoor/faults/explore.py
@@ -113,7 +113,7 @@
             case "kill":
                 world.kill(host.name)
             case "restart":
-                for dead in [other for other in world.hosts.values() if other.node is None]:
+                for dead in [h for h in world.hosts.values() if h.node is None]:
                     world.start(dead.name, self.names, self.names[:3])
             case "cut":
                 side = random.sample(self.names, random.randint(1, len(self.names) - 1))
--- a/violetdoor/faults/links.py
+++ b/violetdoor/faults/links.py
@@ -1,7 +1,7 @@
-"""Links between relays on loopback, an address for each ordered pair; traffic to it can be harmed.
+"""Proxied links between relays on loopback, with an address per ordered pair, where faults are injected.
 
-A relay is told to reach its peers at these addresses (`fleet.routes`). A datagram that comes to the link
-from a to b leaves from the link from b to a, so that b's answer to where it came from takes the way back.
+A relay is configured to reach its peers at these addresses (`fleet.routes`). A datagram that arrives at the
+link from a to b is forwarded from the socket of the link from b to a, so that b's answer takes the link back.
 """
 
 from __future__ import annotations
@@ -16,49 +16,49 @@
 
 Address = tuple[str, int]
 
-MAX_DATAGRAM = 64 * 1024
-CHUNK = 64 * 1024
-LOOK = 0.02  # s until a held stream looks again whether it may go on
-RESEND = 0.2  # s that a lost segment of a stream costs
-REPEATS = 3  # one datagram comes twice for so many that are lost
+MAX_DATAGRAM_BYTES = 64 * 1024
+CHUNK_BYTES = 64 * 1024
+CUT_POLL_SECONDS = 0.02  # how often a stream checks whether its cut link is open again
+RETRANSMIT_SECONDS = 0.2  # delay that each lost segment adds to a stream
+LOSSES_PER_DUPLICATE = 3  # one datagram is duplicated for every three that are lost
 
 
 @dataclass(slots=True)
-class Harm:
-    """What is done to one way."""
+class LinkConditions:
+    """The injected faults of one direction."""
 
     cut: bool = False
-    loss: float = 0.0  # part
-    delay: float = 0.0  # ms, on average; each datagram has its own, so that they overtake each other
+    loss: float = 0.0  # fraction of datagrams and stream segments that are lost
+    delay: float = 0.0  # mean in ms; drawn for each datagram, so that datagrams are reordered
 
 
 class Link:
-    """One way from a relay to another: its sockets and its harm."""
+    """One direction from a relay to another: its sockets and its conditions."""
 
     def __init__(self, links: Links, source: str, to: str) -> None:
         self.links, self.source, self.to = links, source, to
-        self.harm = Harm()
-        self.udp, self.tcp = _both(links.host)
+        self.conditions = LinkConditions()
+        self.udp, self.tcp = _bind_udp_and_tcp(links.host)
         self.address: Address = self.udp.getsockname()[:2]
         self.dropped = self.passed = 0
         self.accepting: asyncio.Task[None] | None = None
 
 
-def _both(host: str) -> tuple[socket.socket, socket.socket]:
-    """A UDP and a TCP socket of one port."""
+def _bind_udp_and_tcp(host: str) -> tuple[socket.socket, socket.socket]:
+    """Return a UDP and a listening TCP socket on the same port."""
     for _ in range(100):
         udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         udp.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
         udp.bind((host, 0))
         udp.setblocking(False)
         try:
-            return udp, _listening(udp.getsockname())
+            return udp, _listen_tcp(udp.getsockname())
         except OSError:
             udp.close()
-    raise OSError("no port is free for both kinds of sockets")
+    raise OSError("found no port that is free for both UDP and TCP in 100 attempts")
 
 
-def _listening(address: Address) -> socket.socket:
+def _listen_tcp(address: Address) -> socket.socket:
     tcp = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         tcp.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -72,61 +72,61 @@
 
 
 class Links:
-    """All links of a rig."""
+    """All links between the relays of a rig."""
 
     def __init__(self, host: str, names: list[str], targets: dict[str, Address], random: Random) -> None:
         self.host, self.targets, self.random = host, targets, random
         self.loop = asyncio.get_running_loop()
         self.links = {(a, b): Link(self, a, b) for a in names for b in names if a != b}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.gone: set[str] = set()
+        self.dead_relays: set[str] = set()
         self.closed = False
 
     def start(self) -> None:
-        """Begin to pass traffic on."""
+        """Start forwarding."""
         for link in self.links.values():
-            self.loop.add_reader(link.udp, self._datagrams, link)
+            self.loop.add_reader(link.udp, self._read_datagrams, link)
             link.accepting = self._spawn(self._accept(link))
 
-    def refuse(self, name: str, refuses: bool) -> None:
-        """A relay's process is gone, and its machine refuses calls; or it is there again."""
-        (self.gone.add if refuses else self.gone.discard)(name)
-        self._refuse_or_not()
+    def set_refusing(self, name: str, refuses: bool) -> None:
+        """Set whether links to a relay refuse connections, as the host of a dead process does."""
+        (self.dead_relays.add if refuses else self.dead_relays.discard)(name)
+        self._update_acceptors()
 
-    def _refuse_or_not(self) -> None:
+    def _update_acceptors(self) -> None:
         for (_, to), link in self.links.items():
-            # What is cut off refuses nothing: it is silent.
-            refuses = to in self.gone and not link.harm.cut
+            # A link that is cut stays silent: it refuses nothing.
+            refuses = to in self.dead_relays and not link.conditions.cut
             if self.closed or refuses is (link.accepting is None):
                 continue
             if link.accepting is not None:
                 link.accepting.cancel()
                 link.accepting = None
-                self.loop.call_soon(link.tcp.close)  # once the loop no longer looks at it
+                self.loop.call_soon(link.tcp.close)  # once the event loop no longer polls it
             else:
-                link.tcp = _listening(link.address)
+                link.tcp = _listen_tcp(link.address)
                 link.accepting = self._spawn(self._accept(link))
 
     def routes(self, name: str) -> dict[str, str]:
-        """Where one relay is told to reach the others."""
+        """Return the addresses at which a relay reaches each of the others."""
         return {b: "{}:{}".format(*link.address) for (a, b), link in self.links.items() if a == name}
 
-    def harm(self, sources: list[str], to: list[str], both: bool, **values: float | bool) -> None:
-        """Change the harm of all ways from some relays to others."""
+    def set_conditions(self, sources: list[str], to: list[str], both: bool, **values: float | bool) -> None:
+        """Set conditions of all links from some relays to others; `both`: also of those back."""
         for a in sources:
             for b in to:
                 for pair in ((a, b), (b, a)) if both else ((a, b),):
                     if pair in self.links:
                         for name, value in values.items():
-                            setattr(self.links[pair].harm, name, value)
-        self._refuse_or_not()
+                            setattr(self.links[pair].conditions, name, value)
+        self._update_acceptors()
 
-    def reach(self, a: str, b: str) -> bool:
-        """Whether both ways between two relays are open."""
-        return not (self.links[a, b].harm.cut or self.links[b, a].harm.cut)
+    def is_open(self, a: str, b: str) -> bool:
+        """Return whether neither direction between two relays is cut."""
+        return not (self.links[a, b].conditions.cut or self.links[b, a].conditions.cut)
 
     def close(self) -> None:
-        """Stop."""
+        """Stop forwarding and close all sockets."""
         self.closed = True
         for task in self.tasks:
             task.cancel()
@@ -135,30 +135,30 @@
             link.udp.close()
             link.tcp.close()
 
-    def _spawn(self, what: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        task = self.loop.create_task(what)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
-    def _datagrams(self, link: Link) -> None:
+    def _read_datagrams(self, link: Link) -> None:
         with contextlib.suppress(OSError):
             while True:
-                data = link.udp.recv(MAX_DATAGRAM)
-                harm = link.harm
-                if harm.cut or self.random.random() < harm.loss:
+                data = link.udp.recv(MAX_DATAGRAM_BYTES)
+                conditions = link.conditions
+                if conditions.cut or self.random.random() < conditions.loss:
                     link.dropped += 1
                     continue
                 link.passed += 1
-                for _ in range(1 + (self.random.random() < harm.loss / REPEATS)):
-                    wait = harm.delay / 1000 * self.random.uniform(0.5, 1.5)
-                    if wait:
-                        self.loop.call_later(wait, self._pass, link, data)
+                for _ in range(1 + (self.random.random() < conditions.loss / LOSSES_PER_DUPLICATE)):
+                    delay_seconds = conditions.delay / 1000 * self.random.uniform(0.5, 1.5)
+                    if delay_seconds:
+                        self.loop.call_later(delay_seconds, self._forward_datagram, link, data)
                     else:
-                        self._pass(link, data)
+                        self._forward_datagram(link, data)
 
-    def _pass(self, link: Link, data: bytes) -> None:
-        if not self.closed and not link.harm.cut:
+    def _forward_datagram(self, link: Link, data: bytes) -> None:
+        if not self.closed and not link.conditions.cut:
             with contextlib.suppress(OSError):
                 self.links[link.to, link.source].udp.sendto(data, self.targets[link.to])
 
@@ -166,37 +166,37 @@
         while True:
             sock, _ = await self.loop.sock_accept(link.tcp)
             sock.setblocking(False)
-            self._spawn(self._stream(link, sock))
+            self._spawn(self._forward_stream(link, sock))
 
-    async def _stream(self, link: Link, near: socket.socket) -> None:
-        back = self.links[link.to, link.source]
-        far = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        far.setblocking(False)
+    async def _forward_stream(self, link: Link, client_socket: socket.socket) -> None:
+        reverse = self.links[link.to, link.source]
+        server_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        server_socket.setblocking(False)
         try:
-            await self._open(link, back)
-            await self.loop.sock_connect(far, self.targets[link.to])
+            await self._wait_until_open(link, reverse)
+            await self.loop.sock_connect(server_socket, self.targets[link.to])
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pump(near, far, link, back))
-                group.create_task(self._pump(far, near, back, link))
+                group.create_task(self._copy_stream(client_socket, server_socket, link, reverse))
+                group.create_task(self._copy_stream(server_socket, client_socket, reverse, link))
         except* (OSError, ConnectionError):
             pass
         finally:
-            near.close()
-            far.close()
-
-    async def _open(self, link: Link, back: Link) -> None:
-        """Wait until a stream's bytes come through; a connection also needs the way back."""
-        while link.harm.cut or back.harm.cut:
-            await asyncio.sleep(LOOK)
-        wait = link.harm.delay / 1000 * self.random.uniform(0.5, 1.5)
-        while self.random.random() < link.harm.loss:
-            wait += RESEND
-        if wait:
-            await asyncio.sleep(wait)
-
-    async def _pump(self, source: socket.socket, to: socket.socket, way: Link, back: Link) -> None:
-        while data := await self.loop.sock_recv(source, CHUNK):
-            await self._open(way, back)
+            client_socket.close()
+            server_socket.close()
+
+    async def _wait_until_open(self, link: Link, reverse: Link) -> None:
+        """Wait until a stream's bytes get through; TCP needs both directions, so neither may be cut."""
+        while link.conditions.cut or reverse.conditions.cut:
+            await asyncio.sleep(CUT_POLL_SECONDS)
+        delay_seconds = link.conditions.delay / 1000 * self.random.uniform(0.5, 1.5)
+        while self.random.random() < link.conditions.loss:
+            delay_seconds += RETRANSMIT_SECONDS
+        if delay_seconds:
+            await asyncio.sleep(delay_seconds)
+
+    async def _copy_stream(self, source: socket.socket, to: socket.socket, link: Link, reverse: Link) -> None:
+        while data := await self.loop.sock_recv(source, CHUNK_BYTES):
+            await self._wait_until_open(link, reverse)
             await self.loop.sock_sendall(to, data)
         with contextlib.suppress(OSError):
             to.shutdown(socket.SHUT_WR)
