--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -72,7 +72,7 @@
         ("relays = 3\n[[fault]]\nat_s = 1\nkind = 'cut'\nwho = ['r0']", "'cut' takes two lists of names"),
         (
             "relays = 3\n[[fault]]\nat_s = 1\nkind = 'loss'\nwho = ['r0']\nvalue = 1.5",
-            "expected a part from 0 to 1",
+            "expected a fraction from 0 to 1",
         ),
         ("relays = 3\n[[fault]]\nat_s = 99\nkind = 'kill'\nwho = ['r0']", "expected a time before the end"),
         ("relays = 3\nrelay = 2", "did you mean 'relays'?"),
@@ -167,9 +167,9 @@
 
         async def through(source: int, count: int) -> int:
             """How many of so many datagrams arrive at the other end."""
-            way = links.links["a", "b"] if source == 0 else links.links["b", "a"]
+            link = links.links["a", "b"] if source == 0 else links.links["b", "a"]
             for n in range(count):
-                ends[source].sendto(b"%d" % n, way.address)
+                ends[source].sendto(b"%d" % n, link.address)
             got = 0
             with contextlib.suppress(TimeoutError):
                 while got < count:
@@ -179,29 +179,29 @@
 
         assert await through(0, 50) == 50
         assert await through(1, 50) == 50
-        links.harm(["a"], ["b"], False, cut=True)
+        links.set_conditions(["a"], ["b"], False, cut=True)
         assert await through(0, 20) == 0
         assert await through(1, 20) == 20
-        assert not links.reach("a", "b")
-        links.harm(["a"], ["b"], False, cut=False, loss=0.5)
+        assert not links.is_open("a", "b")
+        links.set_conditions(["a"], ["b"], False, cut=False, loss=0.5)
         assert 60 < await through(0, 200) < 150
-        links.harm(["a"], ["b"], False, loss=0.0, delay=50.0)
+        links.set_conditions(["a"], ["b"], False, loss=0.0, delay=50.0)
         began = loop.time()
         assert await through(0, 1) == 1
         assert loop.time() - began >= 0.025
         address = links.links["a", "b"].address
         (await asyncio.open_connection(*address))[1].close()
-        links.refuse("b", True)  # its process is gone: calls are refused, unless they don't come there
+        links.set_refusing("b", True)  # its process is gone: calls are refused, unless they don't come there
         await asyncio.sleep(0)  # the loop lets go of the socket
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(*address)
-        links.harm(["a"], ["b"], False, cut=True)
+        links.set_conditions(["a"], ["b"], False, cut=True)
         (await asyncio.open_connection(*address))[1].close()
-        links.harm(["a"], ["b"], False, cut=False)
+        links.set_conditions(["a"], ["b"], False, cut=False)
         await asyncio.sleep(0)
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(*address)
-        links.refuse("b", False)
+        links.set_refusing("b", False)
         (await asyncio.open_connection(*address))[1].close()
         links.close()
         for end in ends:
--- a/violetdoor/faults/rig.py
+++ b/violetdoor/faults/rig.py
@@ -78,9 +78,9 @@
         self.loop = asyncio.get_running_loop()
         self.began = time.clock_gettime(time.CLOCK_BOOTTIME)
         self.guard, self.net = _own_net()
-        self.places = {name: n + 1 for n, name in enumerate(scenario.names)}
-        self.fleet = {name: (self._host(name), FLEET_PORT) for name in scenario.names}
-        self.links = Links(f"{self.net}.250", scenario.names, self.fleet, self.random)
+        self.places = {name: n + 1 for n, name in enumerate(scenario.all_relays)}
+        self.fleet = {name: (self._host(name), FLEET_PORT) for name in scenario.all_relays}
+        self.links = Links(f"{self.net}.250", scenario.all_relays, self.fleet, self.random)
         self.gates = [
             GateServer(f"s{n}", f"{self.net}.{200 + n}", self.note) for n in range(scenario.servers)
         ]
@@ -111,7 +111,7 @@
     def _config(self, name: str, console: int) -> Path:
         """A relay's file; a process that takes over has another console."""
         s, host = self.scenario, self._host(name)
-        founders = s.started()[: s.founders]
+        founders = s.initial_relays()[: s.founders]
         at = "{}:{}".format
         data: dict[str, Any] = {
             "name": name, "front": "line", "listen": at(host, CLIENT_PORT), "console": at(host, console),
@@ -120,7 +120,7 @@
             "classes": [{"name": "checkin", "aim_ms": 300, "deadline_ms": 1200, "message_aim_ms": 250}],
             "fleet": {
                 "listen": at(host, FLEET_PORT), "key": "fleet.key", "founders": founders,
-                "seeds": [self.links.routes(name)[n] for n in s.started()[:5] if n != name],
+                "seeds": [self.links.routes(name)[n] for n in s.initial_relays()[:5] if n != name],
                 "routes": self.links.routes(name), **({"state": f"{name}.state"} if s.state else {}),
             },
         }  # fmt: skip
@@ -140,7 +140,7 @@
         one = Process(name, process, (self._host(name), console))
         self.processes.append(one)
         one.reading = self._spawn(self._read(one))
-        self.links.refuse(name, False)
+        self.links.set_refusing(name, False)
         self.note(name, "started", pid=process.pid)
         waiting = self._spawn(one.listening.wait())
         gone = self._spawn(process.wait())
@@ -174,7 +174,7 @@
         status = await one.process.wait()
         one.listening.set()
         if all(p.process.returncode is not None for p in self.processes if p.name == one.name):
-            self.links.refuse(one.name, True)
+            self.links.set_refusing(one.name, True)
         if not one.ending:
             self.note(one.name, "died", status=status)
 
@@ -185,7 +185,7 @@
             self.note(name, "down")
             with contextlib.suppress(ProcessLookupError):
                 one.process.kill()
-            self.links.refuse(name, True)
+            self.links.set_refusing(name, True)
 
     async def end(self, one: Process) -> None:
         """Let a process leave, and see that it does."""
@@ -250,7 +250,7 @@
             self.note("rig", "links", groups=[], worst=0.0)
             return
         up = [n for n, one in self.running.items() if not one.stopped]
-        reach = {a: {b for b in up if b != a and self.links.reach(a, b)} for a in up}
+        reach = {a: {b for b in up if b != a and self.links.is_open(a, b)} for a in up}
         groups, left = [], set(up)
         while left:
             first = min(left)
@@ -258,7 +258,7 @@
             left -= group
             if all(reach[n] | {n} == group for n in group):
                 groups.append(sorted(group))
-        worst = max((link.harm.loss for link in self.links.links.values()), default=0.0)
+        worst = max((link.conditions.loss for link in self.links.links.values()), default=0.0)
         self.note("rig", "links", groups=groups, worst=worst)
 
     async def fault(self, line: FaultLine) -> None:
@@ -338,13 +338,13 @@
         names = list(self.fleet)
         match line.kind:
             case "cut" | "one_way":
-                self.links.harm(lists[0], lists[1], line.kind == "cut", cut=not undo)
+                self.links.set_conditions(lists[0], lists[1], line.kind == "cut", cut=not undo)
             case "loss" | "delay":
                 one, other = lists if lists else (flat, names)
-                self.links.harm(one, other, True, **{line.kind: 0.0 if undo else line.value})
+                self.links.set_conditions(one, other, True, **{line.kind: 0.0 if undo else line.value})
             case "heal":
                 one, other = lists if lists else (names, names)
-                self.links.harm(one, other, True, cut=False, loss=0.0, delay=0.0)
+                self.links.set_conditions(one, other, True, cut=False, loss=0.0, delay=0.0)
 
     # The run.
 
@@ -358,7 +358,7 @@
                 await gate.start()
             await self.discovery.start(f"{self.net}.251")
             self.links.start()
-            starting = [self._spawn(self.start(name)) for name in self.scenario.started()]
+            starting = [self._spawn(self.start(name)) for name in self.scenario.initial_relays()]
             for one in await asyncio.gather(*starting):
                 if one.process.returncode is not None:
                     said = [str(r) for r in self.history.of_kinds("said", "error")][-3:]
@@ -369,7 +369,7 @@
             for n in range(self.scenario.clients):
                 client = Client(f"c{n}", Random(self.random.getrandbits(64)), self._places, self.note)
                 self._spawn(client.run())
-            for name in self.scenario.names:
+            for name in self.scenario.all_relays:
                 self._spawn(self._ask(name))
             await self._play_timeline()
             self.tell_links()
