--- a/violetdoor/faults/checks.py
+++ b/violetdoor/faults/checks.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from violetdoor.faults.actors import SLACK
+from violetdoor.faults.actors import ANSWER_SLACK_SECONDS
 from violetdoor.faults.history import History, Row
 from violetdoor.fleet.lease import LEASE_DURATION_SECONDS, LEASE_EXPIRY_SECONDS
 
@@ -49,7 +49,8 @@
                 if first is None:
                     continue
                 excused = any(
-                    start <= row.at + SLACK and end >= first.at - SLACK for start, end in down[relay]
+                    start <= row.at + ANSWER_SLACK_SECONDS and end >= first.at - ANSWER_SLACK_SECONDS
+                    for start, end in down[relay]
                 )
                 if how == "no answer" and not excused:
                     yield CheckFailure(
