--- a/violetdoor/faults/__init__.py
+++ b/violetdoor/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults put between relays on purpose: in virtual time, and between processes of the program."""
+"""Fault injection: in virtual time, and between real processes of the program."""
--- a/violetdoor/faults/history.py
+++ b/violetdoor/faults/history.py
@@ -1,4 +1,4 @@
-"""What happened in a run, in the order of one clock: a list of rows, kept as Parquet."""
+"""The history of a run: rows in the order of one clock, stored as Parquet."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """Something that was seen: when (s from the start), at whom, what, and its values."""
+    """One observation: seconds since the start, the relay, server or client, the kind, and its values."""
 
     at: float
     who: str
@@ -19,34 +19,34 @@
     values: dict[str, Any]
 
     def __str__(self) -> str:
-        told = " ".join(f"{k}={v}" for k, v in self.values.items())
-        return f"{self.at:9.3f} {self.who:6s} {self.kind:16s} {told}"
+        values = " ".join(f"{k}={v}" for k, v in self.values.items())
+        return f"{self.at:9.3f} {self.who:6s} {self.kind:16s} {values}"
 
 
 class History:
-    """Rows in the order of their time."""
+    """The rows of a run, ordered by time once sorted."""
 
     def __init__(self, rows: list[Row] | None = None) -> None:
         self.rows = rows or []
 
     def add(self, at: float, who: str, kind: str, **values: Any) -> None:
-        """Write a row."""
+        """Append a row."""
         self.rows.append(Row(round(at, 4), who, kind, values))
 
     def sort(self) -> None:
-        """Put rows in order: what relays tell arrives a little late."""
+        """Sort rows by time: the events of relays arrive slightly late."""
         self.rows.sort(key=lambda row: row.at)
 
     def of_kinds(self, *kinds: str) -> Iterator[Row]:
-        """The rows of some kinds."""
+        """Iterate over the rows of these kinds."""
         return (row for row in self.rows if row.kind in kinds)
 
     def tail(self, start: int) -> History:
-        """From one row on."""
+        """Return the history from one row on."""
         return History(self.rows[start:])
 
     def save(self, path: Path) -> None:
-        """Write as Parquet."""
+        """Write the history as Parquet."""
         import pyarrow as pa
         import pyarrow.parquet as pq
 
@@ -61,7 +61,7 @@
 
     @classmethod
     def load(cls, path: Path) -> History:
-        """Read again what was saved."""
+        """Read a history that `save` wrote."""
         import pyarrow.parquet as pq
 
         table = pq.read_table(path).to_pydict()
--- a/violetdoor/faults/rig.py
+++ b/violetdoor/faults/rig.py
@@ -120,8 +120,9 @@
         founders = s.initial_relays()[: s.founders]
         endpoint = "{}:{}".format
         data: dict[str, Any] = {
-            "name": name, "front": "line", "listen": endpoint(host, CLIENT_PORT), "console": endpoint(host, console_port),
-            "log": "json", "discovery": endpoint(*self.discovery.address), "relays": s.relays,
+            "name": name, "front": "line", "listen": endpoint(host, CLIENT_PORT),
+            "console": endpoint(host, console_port), "log": "json",
+            "discovery": endpoint(*self.discovery.address), "relays": s.relays,
             "line": {"tenants": ["club"]},
             "classes": [{"name": "checkin", "aim_ms": 300, "deadline_ms": 1200, "message_aim_ms": 250}],
             "fleet": {
