--- a/tests/recorded/virtual_worlds.py
+++ b/tests/recorded/virtual_worlds.py
@@ -1,8 +1,8 @@
-"""Digests of all that virtual networks carry, in its order.
+"""Digests of all messages that virtual networks carry, in the order in which they are sent.
 
-Every message that is put on its way is encoded: datagrams, calls and their answers, messages within a control
-group and on sessions. What a cut link or chance drops at its start is not put on its way. No draw goes by the
-order of hashes: the digests were the same under PYTHONHASHSEED 0, 1, 2, 7 and 4711.
+Every message sent is encoded: datagrams, requests and responses, messages within a control group and on
+sessions. A message that a cut link or random loss drops when it is sent is not included. No random draw
+depends on hash order: the digests were the same under PYTHONHASHSEED 0, 1, 2, 7 and 4711.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 SEEDS = (1, 2, 3)
 
 
-class Carried:
-    """What was put on its way: a digest of its bytes, and how many messages there were."""
+class SentMessages:
+    """A digest and count of the messages sent."""
 
     def __init__(self) -> None:
         self.hash, self.count = hashlib.blake2b(digest_size=16), 0
@@ -39,49 +39,49 @@
 
 
 @contextmanager
-def recording() -> Iterator[Carried]:
-    """Take down all that worlds carry."""
-    carried, schedule, send = Carried(), World._schedule, ControlWorld._send_on_connection
+def recording() -> Iterator[SentMessages]:
+    """Record all messages that worlds send."""
+    sent, schedule, send = SentMessages(), World._schedule, ControlWorld._send_on_connection
 
-    def recorded_schedule(world: World, at: float, what: Any, *values: Any) -> None:
+    def recorded_schedule(world: World, at: float, callback: Any, *values: Any) -> None:
         for value in values:
             if isinstance(value, Struct):
-                carried.add(at, value)
-        schedule(world, at, what, *values)
+                sent.add(at, value)
+        schedule(world, at, callback, *values)
 
-    def recorded_send(world: ControlWorld, connection: Any, way: Any, message: Any) -> None:
+    def recorded_send(world: ControlWorld, connection: Any, queue: Any, message: Any) -> None:
         if isinstance(message, Struct):
-            carried.add(world.now, message)
-        send(world, connection, way, message)
+            sent.add(world.now, message)
+        send(world, connection, queue, message)
 
     with (
         mock.patch.object(World, "_schedule", recorded_schedule),
         mock.patch.object(ControlWorld, "_send_on_connection", recorded_send),
     ):
-        yield carried
+        yield sent
 
 
 def fleet_run(seed: int) -> dict[str, Any]:
-    """A hostile schedule of a fleet: what was carried, and what each node keeps at its end."""
-    with recording() as carried:
+    """Run a random fault schedule of a fleet; return the messages sent and each node's durable state."""
+    with recording() as sent:
         schedule = explore.Schedule(seed)
         assert schedule.run() is None
-    kept = {
+    durable_states = {
         host.name: hashlib.blake2b(encode(host.stored_state), digest_size=16).hexdigest()
         for host in schedule.world.hosts.values()
     }
-    return carried.result() | {"kept": kept}
+    return sent.result() | {"kept": durable_states}
 
 
 def control_run(seed: int) -> dict[str, Any]:
-    """A hostile schedule of control groups and relays: what was carried."""
-    with recording() as carried:
+    """Run a random fault schedule of control groups and relays; return the messages sent."""
+    with recording() as sent:
         assert control_explore.Schedule(seed).run() is None
-    return carried.result()
+    return sent.result()
 
 
 def handed_over_by_fleet() -> str:
-    """What a member of a quiet fleet of three hands to its next process."""
+    """Return the handover state of a member of an idle fleet of three."""
     world = World(11)
     names = ["n0", "n1", "n2"]
     for name in names:
@@ -95,7 +95,7 @@
 
 
 def handed_over_by_attachment() -> str:
-    """What an attached relay of one region hands to its next process."""
+    """Return the handover state of an attached relay of one region."""
     world = ControlWorld(12)
     world.add_region("a", 3)
     for name in world.controls:
--- a/tests/test_recorded_worlds.py
+++ b/tests/test_recorded_worlds.py
@@ -1,4 +1,4 @@
-"""What fleets and control groups in virtual time carry, byte for byte, against runs of revision 300e9a1."""
+"""Fleets and control groups in virtual time send the same bytes as at revision 300e9a1."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 @pytest.mark.parametrize("seed", virtual_worlds.SEEDS)
-def test_fleet_carries_the_recorded_bytes(seed: int) -> None:
+def test_fleet_sends_the_recorded_bytes(seed: int) -> None:
     assert virtual_worlds.fleet_run(seed) == RECORDED["fleet"][str(seed)]
 
 
 @pytest.mark.parametrize("seed", virtual_worlds.SEEDS)
-def test_control_plane_carries_the_recorded_bytes(seed: int) -> None:
+def test_control_plane_sends_the_recorded_bytes(seed: int) -> None:
     assert virtual_worlds.control_run(seed) == RECORDED["control"][str(seed)]
 
 
