--- a/violetdoor/faults/actors.py
+++ b/violetdoor/faults/actors.py
@@ -20,10 +20,10 @@
 SETUP_SECONDS = 0.002  # that a gate server takes to establish a connection
 LINE_INTERVAL_SECONDS = 0.25  # between two lines of a client
 CONNECTION_SECONDS = 1.0, 4.0  # range of the time that a client keeps its connection
-PAUSE_SECONDS = 0.02, 0.15  # range of the time until a client reconnects
+RECONNECT_DELAY_SECONDS = 0.02, 0.15  # range of the time until a client reconnects
 ANSWER_DEADLINE_SECONDS = 1.2  # deadline of the request class
 ANSWER_SLACK_SECONDS = 0.5  # after the deadline, in which a late answer still counts
-SILENCE_SECONDS = 7.0  # without a line, after which a client reports its connection as silent
+LINE_TIMEOUT_SECONDS = 7.0  # without a line, after which a client reports its connection as silent
 
 
 class GateServer:
@@ -154,7 +154,7 @@
                 relay = self.random.choice(sorted(relay_addresses))
                 with contextlib.suppress(OSError):
                     await self._use_connection(relay, relay_addresses[relay])
-            await asyncio.sleep(self.random.uniform(*PAUSE_SECONDS))
+            await asyncio.sleep(self.random.uniform(*RECONNECT_DELAY_SECONDS))
 
     async def _use_connection(self, relay: str, address: Address) -> None:
         reader, writer = await asyncio.wait_for(asyncio.open_connection(*address), ANSWER_DEADLINE_SECONDS)
@@ -203,7 +203,7 @@
             sent += 1
             writer.write(b"line %d\r\n" % sent)
             try:
-                got = await asyncio.wait_for(reader.readline(), SILENCE_SECONDS)
+                got = await asyncio.wait_for(reader.readline(), LINE_TIMEOUT_SECONDS)
             except TimeoutError:
                 return "silent"
             if got == b"MOVE\r\n":
--- a/violetdoor/faults/checks.py
+++ b/violetdoor/faults/checks.py
@@ -224,8 +224,8 @@
             last_majority_view
         ):
             views = {
-                name: at_view.get(name, ("none", frozenset()))[0] + ("" if has_lease.get(name) else " stale")
-                for name in group
+                n: at_view.get(n, ("none", frozenset()))[0] + ("" if has_lease.get(n) else " stale")
+                for n in group
             }
             yield CheckFailure(
                 "settled",
--- a/violetdoor/faults/rig.py
+++ b/violetdoor/faults/rig.py
@@ -82,7 +82,7 @@
         self.random = Random(scenario.seed)
         self.history = History()
         self.loop = asyncio.get_running_loop()
-        self.began = time.clock_gettime(time.CLOCK_BOOTTIME)
+        self.started_at = time.clock_gettime(time.CLOCK_BOOTTIME)
         self.reservation, self.network = _reserve_network()
         self.host_numbers = {name: n + 1 for n, name in enumerate(scenario.all_relays)}
         self.fleet_addresses = {name: (self._host(name), FLEET_PORT) for name in scenario.all_relays}
@@ -101,7 +101,7 @@
 
     def now(self) -> float:
         """Return the seconds since the run began, on the clock that relays timestamp their events with."""
-        return time.clock_gettime(time.CLOCK_BOOTTIME) - self.began
+        return time.clock_gettime(time.CLOCK_BOOTTIME) - self.started_at
 
     def record(self, who: str, kind: str, **values: Any) -> None:
         """Add a row to the history."""
@@ -179,7 +179,7 @@
                 values = {
                     k: v for k, v in event.items() if k not in ("event", "at", "logger", "level", "time")
                 }
-                self.history.add(float(event["at"]) - self.began, relay.name, name, **values)
+                self.history.add(float(event["at"]) - self.started_at, relay.name, name, **values)
         status = await relay.process.wait()
         relay.listening.set()
         if all(p.process.returncode is not None for p in self.processes if p.name == relay.name):
@@ -243,10 +243,10 @@
             await asyncio.sleep(self.random.uniform(0.5, 1.5) * OWNER_QUERY_INTERVAL_SECONDS)
             if (relay := self.running.get(name)) is None:
                 continue
-            key, asked = self.random.choice(OWNED_KEYS), self.now()
+            key, queried_at = self.random.choice(OWNED_KEYS), self.now()
             status, text = await self.call(relay.console, "GET", f"/fleet/owns/{key}")
             if status == 200:
-                self.record(name, "owns", key=key, view=text.strip(), asked=round(asked, 4))
+                self.record(name, "owns", key=key, view=text.strip(), asked=round(queried_at, 4))
 
     # Faults.
 
--- a/violetdoor/faults/scenario.py
+++ b/violetdoor/faults/scenario.py
@@ -154,7 +154,7 @@
 
 
 QUIET_SECONDS = 12.0  # at the start (for founding) and the end (for settling), without new random faults
-MEAN_GAP_SECONDS = 2.5  # between two random faults
+MEAN_FAULT_INTERVAL_SECONDS = 2.5  # between two random faults
 
 
 def random_scenario(seed: int, seconds: float = 60.0) -> Scenario:
@@ -164,7 +164,7 @@
     names, servers = [f"r{n}" for n in range(relays)], random.randint(2, 4)
     faults: list[FaultLine] = []
     at = QUIET_SECONDS
-    while (at := at + random.expovariate(1 / MEAN_GAP_SECONDS)) < seconds - QUIET_SECONDS:
+    while (at := at + random.expovariate(1 / MEAN_FAULT_INTERVAL_SECONDS)) < seconds - QUIET_SECONDS:
         kind = random.choice(
             ["kill", "kill", "stop", "cut", "cut", "one_way", "loss", "delay", "leave", "upgrade", "server"]
         )
