--- a/violetdoor/faults/checks.py
+++ b/violetdoor/faults/checks.py
@@ -120,9 +120,9 @@
             last[key] = row
 
 
-def _epoch_and_seq(text: str) -> tuple[int, int]:
-    line, _, seq = text.partition("/")
-    return int(line, 16), int(seq)
+def _epoch_and_seq(view: str) -> tuple[int, int]:
+    epoch, _, seq = view.partition("/")
+    return int(epoch, 16), int(seq)
 
 
 def check_leases(history: History) -> Iterator[CheckFailure]:
--- a/violetdoor/faults/control_world.py
+++ b/violetdoor/faults/control_world.py
@@ -79,7 +79,7 @@
     client_generation: int
     server: ControlHost
     server_generation: int
-    number: int = 0  # of the session; 0 until the server is reached
+    number: int = 0  # of the session; 0 if the server refuses the connection
     region: str = ""  # the followed region; empty for a relay's session
     open: bool = True
     to_server: deque[tuple[float, Any]] = field(default_factory=deque)  # earliest arrival, message
@@ -94,7 +94,7 @@
 
     def __init__(self, seed: int, hostile: bool = False) -> None:
         super().__init__(seed)
-        self.hostile = hostile
+        self.hostile = hostile  # whether random extra delays reorder the messages within a group
         self.relays: dict[str, Relay] = {}
         self.controls: dict[str, ControlHost] = {}
         self.groups: dict[str, list[str]] = {}  # names of control machines by region
@@ -378,12 +378,12 @@
             machine_name for machine_name in self.controls if self.host(machine_name).address[0] == address[0]
         )
         server = self.controls[name]
-        out, back = self._delay(client.name, name), self._delay(name, client.name)
-        if out is None or back is None or (server.machine is not None and server.host.stopped):
+        delay, return_delay = self._delay(client.name, name), self._delay(name, client.name)
+        if delay is None or return_delay is None or (server.machine is not None and server.host.stopped):
             return  # no answer: the client times out
         connection = Connection(client, client.generation, server, server.generation, region=region)
         if server.machine is None:
-            self._schedule(self.now + out + back, self._connection_refused, connection)
+            self._schedule(self.now + delay + return_delay, self._connection_refused, connection)
             return
         self.session_count += 1
         connection.number = self.session_count
@@ -391,8 +391,8 @@
             client.connection = connection
         else:
             client.region_connections[region] = connection
-        self._schedule(self.now + out, self._session_opened, connection)
-        self._schedule(self.now + out + back, self._connection_established, connection)
+        self._schedule(self.now + delay, self._session_opened, connection)
+        self._schedule(self.now + delay + return_delay, self._connection_established, connection)
 
     def _connection_refused(self, connection: Connection) -> None:
         client = connection.client
@@ -440,8 +440,8 @@
         return client.machine is not None and client.region_connections.get(connection.region) is connection
 
     @staticmethod
-    def _is_stopped(place: Relay | ControlHost) -> bool:
-        return place.stopped if isinstance(place, Relay) else place.host.stopped
+    def _is_stopped(host: Relay | ControlHost) -> bool:
+        return host.stopped if isinstance(host, Relay) else host.host.stopped
 
     def _close_connection(
         self, connection: Connection, ended_host: Relay | ControlHost, silent: bool
--- a/violetdoor/faults/rig.py
+++ b/violetdoor/faults/rig.py
@@ -29,12 +29,8 @@
 
 log = logging.getLogger("violetdoor.faults")
 
-FLEET_PORT, CLIENT_PORT, CONSOLE_PORT, UPGRADED_PORT = (
-    7946,
-    8081,
-    8500,
-    8501,
-)  # on loopback addresses reserved for the rig
+# Ports on the loopback addresses that the rig reserves; the process of an upgrade uses the second console port.
+FLEET_PORT, CLIENT_PORT, CONSOLE_PORT, UPGRADED_PORT = 7946, 8081, 8500, 8501
 OWNED_KEYS = ("one", "two", "three", "four")  # keys whose owners are queried
 OWNER_QUERY_INTERVAL_SECONDS = 0.1  # mean time between two queries to one relay
 START_TIMEOUT_SECONDS = 15.0  # until a started relay listens
--- a/violetdoor/faults/virtual.py
+++ b/violetdoor/faults/virtual.py
@@ -46,9 +46,7 @@
     generation: int = 0  # number of processes started here; events of earlier ones are ignored
     stopped: bool = False  # as by SIGSTOP
     stored_state: DurableState | None = None  # durable state of the last process
-    queued_packets: list[tuple[Any, ...]] = field(
-        default_factory=list
-    )  # arguments of deliveries while it was stopped
+    queued_packets: list[tuple[Any, ...]] = field(default_factory=list)  # received while it is stopped
     clock_rate: float = 1.0  # of its monotonic clock, relative to virtual time
     wall_clock_offset: float = 0.0  # seconds that its wall clock is ahead of virtual time
     wakes_at: float = float("inf")
