--- a/violetdoor/faults/rig.py
+++ b/violetdoor/faults/rig.py
@@ -29,7 +29,7 @@
 
 log = logging.getLogger("violetdoor.faults")
 
-# Ports on the loopback addresses that the rig reserves; the process of an upgrade uses the second console port.
+# Ports on the loopback addresses that the rig reserves; upgraded relays use the second console port.
 FLEET_PORT, CLIENT_PORT, CONSOLE_PORT, UPGRADED_PORT = 7946, 8081, 8500, 8501
 OWNED_KEYS = ("one", "two", "three", "four")  # keys whose owners are queried
 OWNER_QUERY_INTERVAL_SECONDS = 0.1  # mean time between two queries to one relay
