--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Long measurements, one command each; results stand in docs/measurements."""
+"""Long-running measurements, one command each; results are kept in docs/measurements."""
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -8,7 +8,7 @@
 
 from benchmarks.capacity import page, records
 from benchmarks.capacity.fits import FitError, judge
-from benchmarks.machine import described
+from benchmarks.machine import describe_machine
 
 # The module of each part; one is loaded when it is run.
 PARTS = {
@@ -53,7 +53,7 @@
         found = importlib.import_module(f"benchmarks.capacity.{PARTS[part]}").measure(args.quick)
         for one in found:
             print(told(one), flush=True)
-        store.keep(found, f"python -m benchmarks.capacity --only {part}", described())
+        store.keep(found, f"python -m benchmarks.capacity --only {part}", describe_machine())
         if args.write:
             records.save(store)
     if args.write or args.page:
--- a/benchmarks/fleet_scale/report.py
+++ b/benchmarks/fleet_scale/report.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from benchmarks.fleet_scale.bounds import Bound, broken
-from benchmarks.machine import described
+from benchmarks.machine import describe_machine
 
 TARGET = Path(__file__).parent.parent.parent / "docs" / "measurements" / "fleet_scale.md"
 
@@ -50,7 +50,7 @@
     """The page of a run."""
     lines = [
         "# A large fleet, measured", "",
-        f"{outcome.title}, on {described()}, by `{outcome.command}`. All processes shared this machine.", "",
+        f"{outcome.title}, on {describe_machine()}, by `{outcome.command}`. All processes shared this machine.", "",
         *table(outcome.bounds), "",
         "## What was done", "", *(f"- {phase}" for phase in outcome.phases), "",
         "## How the figures are made", "", *(f"- {note}" for note in outcome.notes), "",
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from benchmarks.capacity.records import current_revision
-from benchmarks.machine import described, quantile
+from benchmarks.machine import describe_machine, quantile
 from violetdoor.faults import checks, rig
 from violetdoor.faults.history import History
 from violetdoor.faults.scenario import FaultLine, Scenario
@@ -344,7 +344,7 @@
     for part in args.part or SECTIONS:
         limit = f" --most {args.most}" * (args.most < max(SEEDS))
         command = f"python -m benchmarks.fleet_view{' --quick' * args.quick} --part {part}{limit}"
-        lines = [f"By `{command}` at `{current_revision()}`, on {described()}.", ""]
+        lines = [f"By `{command}` at `{current_revision()}`, on {describe_machine()}.", ""]
         lines += SECTIONS[part][1](args.quick, args.most)
         sections[part] = "\n".join(lines) + "\n"
         print(sections[part], flush=True)
--- a/benchmarks/fleet_worth.py
+++ b/benchmarks/fleet_worth.py
@@ -21,7 +21,7 @@
 from random import Random
 from typing import Any
 
-from benchmarks.machine import described
+from benchmarks.machine import describe_machine
 from violetdoor.balancing.actions import CheckHealth, FailRequest, Migrate, Reject, SetTimer, StartAttempt
 from violetdoor.balancing.balancer import Balancer
 from violetdoor.balancing.events import (
@@ -354,7 +354,7 @@
         results = list(pool.map(played, jobs))
     lines = [
         "# What the living relays' number is worth", "",
-        f"On {described()}, by `python -m benchmarks.fleet_worth --write`: virtual time, {SEEDS} seeds, mean part of the "
+        f"On {describe_machine()}, by `python -m benchmarks.fleet_worth --write`: virtual time, {SEEDS} seeds, mean part of the "
         "worth asked for that is served well. Relays that died are back after 25 s.", "",
         "| case | number by | " + " | ".join(w for w, _, _ in WINDOWS) + " | cold servers pushed over |",
         "| --- | --- |" + " --- |" * (len(WINDOWS) + 1),
--- a/benchmarks/machine.py
+++ b/benchmarks/machine.py
@@ -1,4 +1,4 @@
-"""What a measurement was made on, and how times are taken."""
+"""Description of the machine, timing of calls and memory use, for all benchmarks."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 
-def described() -> str:
-    """Cores, memory, processor and Python of this machine; no name and no path."""
+def describe_machine() -> str:
+    """Return the cores, processor, memory and Python version of this machine, without host name or paths."""
     model = "unknown processor"
     for line in Path("/proc/cpuinfo").read_text().splitlines():
         if line.startswith("model name"):
@@ -20,34 +20,34 @@
     return f"{os.cpu_count()} cores ({model}), {memory} GiB, CPython {platform.python_version()}"
 
 
-def batches(step: Callable[[], object], calls: int, rounds: int) -> list[float]:
-    """Ns per call, one figure a round of so many calls, smallest first."""
-    found = []
+def time_batches(step: Callable[[], object], calls: int, rounds: int) -> list[float]:
+    """Return the mean ns per call of each round of `calls` calls, in ascending order."""
+    ns_per_call = []
     for _ in range(rounds):
-        began = time.perf_counter_ns()
+        started_at = time.perf_counter_ns()
         for _ in range(calls):
             step()
-        found.append((time.perf_counter_ns() - began) / calls)
-    return sorted(found)
+        ns_per_call.append((time.perf_counter_ns() - started_at) / calls)
+    return sorted(ns_per_call)
 
 
-def singles(step: Callable[[object], object], values: list[object]) -> list[float]:
-    """Ns of each call, smallest first; the clock's own cost is in them."""
-    found = []
+def time_calls(step: Callable[[object], object], values: list[object]) -> list[float]:
+    """Return the ns of each call with one of the values, in ascending order, with the cost of reading the clock."""
+    ns_per_call = []
     for value in values:
-        began = time.perf_counter_ns()
+        started_at = time.perf_counter_ns()
         step(value)
-        found.append(time.perf_counter_ns() - began)
-    return sorted(found)
+        ns_per_call.append(time.perf_counter_ns() - started_at)
+    return sorted(ns_per_call)
 
 
-def quantile(ordered: list[float], part: float) -> float:
-    """The value under which such a part of ordered figures lies."""
-    return ordered[min(len(ordered) - 1, int(len(ordered) * part))]
+def quantile(ordered: list[float], fraction: float) -> float:
+    """Return the value below which the fraction of the ordered values lies."""
+    return ordered[min(len(ordered) - 1, int(len(ordered) * fraction))]
 
 
 def rss_kib() -> int:
-    """Memory of this process now."""
+    """Return the resident memory of this process."""
     for line in Path("/proc/self/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1])
--- a/benchmarks/match.py
+++ b/benchmarks/match.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.machine import batches, described, quantile, rss_kib, singles
+from benchmarks.machine import describe_machine, quantile, rss_kib, time_batches, time_calls
 from violetdoor.fronts.nats.fields import SCHEMA
 from violetdoor.match.faults import RulesError
 from violetdoor.match.load import Loaded, Loader
@@ -70,7 +70,7 @@
     """p50, p99 and the longest in us; every request once."""
     for request in requests[:200]:
         ready.decide(request)
-    taken = singles(ready.decide, requests)  # type: ignore[arg-type]
+    taken = time_calls(ready.decide, requests)  # type: ignore[arg-type]
     return quantile(taken, 0.5) / 1000, quantile(taken, 0.99) / 1000, taken[-1] / 1000
 
 
@@ -168,7 +168,7 @@
         if found is None:
             continue
         ready = load(as_set(terms), LIMIT_US).ready()
-        p99 = min(quantile(singles(ready.decide, requests), 0.99) for _ in range(2)) / 1000  # type: ignore[arg-type]
+        p99 = min(quantile(time_calls(ready.decide, requests), 0.99) for _ in range(2)) / 1000  # type: ignore[arg-type]
         if best is None or p99 > best[0]:
             best = p99, terms, ready
     assert best is not None
@@ -205,7 +205,7 @@
             for address in asked:
                 get(address)
 
-        found = batches(step, 1, 20)
+        found = time_batches(step, 1, 20)
         per = [quantile(found, part) / len(asked) for part in (0.5, 0.9)]
         lines.append(f"| 100,000 IPv{4 if bits == 32 else 6} | {built:.2f} | {per[0]:.0f} | {per[1]:.0f} |")
     return lines
@@ -271,8 +271,8 @@
         environment = celpy.Environment()
         program = environment.program(environment.compile(cel))
         assert ready.decide(request).rule == "r" and bool(program.evaluate(activation))
-        mine = quantile(batches(lambda: ready.decide(request), 2000, 9), 0.5) / 1000  # noqa: B023
-        other = quantile(batches(lambda: program.evaluate(activation), 200, 9), 0.5) / 1000  # noqa: B023
+        mine = quantile(time_batches(lambda: ready.decide(request), 2000, 9), 0.5) / 1000  # noqa: B023
+        other = quantile(time_batches(lambda: program.evaluate(activation), 200, 9), 0.5) / 1000  # noqa: B023
         lines.append(f"| `{ours}` | {mine:.2f} | {other:.1f} | {other / mine:.0f} |")
     return lines
 
@@ -283,7 +283,12 @@
         ("Time per request as rules grow", sizes), ("The worst set that is accepted", worst),
         ("Prefixes", prefixes), ("Loading", loading), ("Against cel-python", against_cel),
     ]  # fmt: skip
-    lines = ["# Match rules, measured", "", f"On {described()}, by `python -m benchmarks.match --write`.", ""]
+    lines = [
+        "# Match rules, measured",
+        "",
+        f"On {describe_machine()}, by `python -m benchmarks.match --write`.",
+        "",
+    ]
     for title, part in parts:
         lines += [f"## {title}", "", *part(), ""]
     text = "\n".join(lines).rstrip() + "\n"
--- a/benchmarks/match_prices.py
+++ b/benchmarks/match_prices.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from benchmarks.machine import batches, described, quantile, singles
+from benchmarks.machine import describe_machine, quantile, time_batches, time_calls
 from violetdoor.match.prices import TABLE, contains_steps
 from violetdoor.match.runtime import ENVIRONMENT, Nets, RuleSet, compiled_pattern
 
@@ -33,8 +33,8 @@
         exec(f"def step(r=r, m=m):\n return {body}", space)
         step: Callable[[], object] = space["step"]
         step()
-        calls = max(20, int(2e6 / max(50.0, batches(step, 20, 3)[1])))
-        return quantile(batches(step, min(calls, 20_000), ROUNDS), 0.9)
+        calls = max(20, int(2e6 / max(50.0, time_batches(step, 20, 3)[1])))
+        return quantile(time_batches(step, min(calls, 20_000), ROUNDS), 0.9)
 
     return max(15.0, one(code) - one("None"))
 
@@ -76,14 +76,14 @@
     The longest of 30 counts: most of these times are states built for the first time, and those come in bursts.
     """
     one = compiled_pattern("a")
-    base = quantile(batches(lambda: one.search(b"a") is not None, 1000, ROUNDS), 0.9)
+    base = quantile(time_batches(lambda: one.search(b"a") is not None, 1000, ROUNDS), 0.9)
     each, rng = 0.0, random.Random(1)
     for k in (4, 10, 16, 40):
         for source in (f"(a|b)*a(a|b){{{k}}}c", f"(x+x+)+{'y' * k}", f"([ab]*[abc]*){{{min(k, 20)}}}d"):
             program = compiled_pattern(source)
             for n in (256, 1024, 4096):
                 tried: list[object] = [bytes(rng.choices(b"abx", (8, 8, 1), k=n)) for _ in range(30)]
-                taken = [t - base for t in singles(lambda t: program.search(t), tried)]  # noqa: B023
+                taken = [t - base for t in time_calls(lambda t: program.search(t), tried)]  # noqa: B023
                 each = max(each, taken[-1] / (n * program.programsize))
     return base, each
 
@@ -104,7 +104,7 @@
         for address in asked:
             nets.get(address)
 
-    return quantile(batches(step, 1, ROUNDS), 0.9) / len(asked), 0.0
+    return quantile(time_batches(step, 1, ROUNDS), 0.9) / len(asked), 0.0
 
 
 def deciding() -> dict[str, Measured]:
@@ -122,7 +122,7 @@
             "default": out or ("default",),
         }  # fmt: skip
         ready = RuleSet(data).ready()
-        return quantile(batches(lambda: ready.decide(()), 1000, ROUNDS), 0.9)
+        return quantile(time_batches(lambda: ready.decide(()), 1000, ROUNDS), 0.9)
 
     empty, many = ns(0), ns(100)
     return {"decide": (empty, 0.0), "rule": ((many - empty) / 100, 0.0), "verdict": (ns(0, "o") - empty, 0.0)}
@@ -167,7 +167,7 @@
         for name, (base, each) in measured().items()
     }
     text = orjson.dumps(
-        {"measured on": described(), "margin": MARGIN, "ns": found},
+        {"measured on": describe_machine(), "margin": MARGIN, "ns": found},
         option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE,
     )
     print(text.decode(), end="")
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -25,7 +25,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from benchmarks.machine import described, quantile
+from benchmarks.machine import describe_machine, quantile
 
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "measurements" / "overload.md"
@@ -362,7 +362,7 @@
     return [
         "# Shedding, measured",
         "",
-        f"On {described()}, by `python -m benchmarks.overload --write`.",
+        f"On {describe_machine()}, by `python -m benchmarks.overload --write`.",
         "",
         f"Capacity on one core, closed loop of {DRIVERS * CLOSED_LOOP_CLIENTS} clients: {capacity:.0f} connections a second (set up, one line, end). 1x is "
         f"{FULL_LOAD_FRACTION} of it. {BOOKING_FRACTION:.0%} bookings, worth 3 to 1; the best possible takes capacity for what can be served and "
