--- a/benchmarks/match_prices.py
+++ b/benchmarks/match_prices.py
@@ -1,8 +1,8 @@
 """Measure the price table of the match language: `python -m benchmarks.match_prices [--write]`.
 
-Each step is timed on the worst known input at a small and a large size. The time at the small size is the base
-price, the increase up to the large size gives the price of a byte or item. Each price is the 90 % quantile of 30
-rounds, times a margin.
+Each step is timed on the worst known input at a small and a large size. The time at the small size is the
+base price, the increase up to the large size gives the price of a byte or item. Each price is the 90 % quantile
+of 30 rounds, times a margin.
 """
 
 from __future__ import annotations
@@ -43,7 +43,8 @@
 def fit_price(points: list[tuple[float, float]]) -> Price:
     """Fit a price to points (units, ns).
 
-    The smallest point gives the base; the slope is such that no point of 16 times its units or more lies above the line.
+    The smallest point gives the base; the slope is such that no point of 16 times its units or more lies above
+    the line.
     """
     smallest_units, base_ns = min(points)
     large = [(units, ns) for units, ns in points if units >= 16 * smallest_units]
