--- a/benchmarks/capacity/fleet_slopes.py
+++ b/benchmarks/capacity/fleet_slopes.py
@@ -114,7 +114,7 @@
     jobs = [(size, seed) for size in sorted(runs, reverse=True) for seed in range(1, runs[size] + 1)]
     context = multiprocessing.get_context("spawn")  # memory of a fresh process
     with ProcessPoolExecutor(WORKERS, mp_context=context, max_tasks_per_child=1) as pool:
-        founded = None if quick else pool.submit(fleet_view.traffic, FOUNDED)
+        founded = None if quick else pool.submit(fleet_view.measure_traffic, FOUNDED)
         sizes = QUICK_MEMORY_SIZES if quick else MEMORY_SIZES
         memory = pool.map(memory_one, sizes)
         costs = list(pool.map(measure_one, jobs))
--- a/benchmarks/fleet_worth.py
+++ b/benchmarks/fleet_worth.py
@@ -420,8 +420,8 @@
         results = list(pool.map(run_job, jobs))
     lines = [
         "# What the living relays' number is worth", "",
-        f"On {describe_machine()}, by `python -m benchmarks.fleet_worth --write`: virtual time, {SEED_COUNT} seeds, mean part of the "
-        "worth asked for that is served well. Relays that died are back after 25 s.", "",
+        f"On {describe_machine()}, by `python -m benchmarks.fleet_worth --write`: virtual time, {SEED_COUNT} seeds, "
+        "mean part of the worth asked for that is served well. Relays that died are back after 25 s.", "",
         "| case | number by | " + " | ".join(w for w, _, _ in WINDOWS) + " | cold servers pushed over |",
         "| --- | --- |" + " --- |" * (len(WINDOWS) + 1),
     ]  # fmt: skip
--- a/benchmarks/match.py
+++ b/benchmarks/match.py
@@ -1,7 +1,7 @@
 """Measure match rules: `python -m benchmarks.match [--write]`, results in docs/measurements/match.md.
 
-The comparison with cel-python needs that package (`pip install -e '.[lab]'`); without it the page says that it
-was not measured.
+The comparison with cel-python needs that package (`pip install -e '.[lab]'`); without it the page says that
+nothing was measured.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def rule_text(n: int) -> str:
-    """Return the n-th rule of a mixed set: it matches the user, the subject, the network, or the name and headers."""
+    """Return the n-th rule of a mixed set; rules match the user, subject, network, or name with headers."""
     match n % 5:
         case 0 | 1:
             return f'rule "u{n}" when connect.user == "club{n}.app" {{ class = "booking"; tenant = "club{n % CLUB_COUNT}"; }}\n'
@@ -91,7 +91,7 @@
     return lines
 
 
-# Search for the slowest rule set that the checker accepts: random sets are built and mutated, the slowest is kept.
+# Search for the slowest rule set that the checker accepts: sets are mutated at random, the slowest is kept.
 
 TEXT_FIELDS = ("connect.user", "connect.name", "first.subject", 'first.headers["k"]', 'first.headers["q"]')
 
@@ -180,8 +180,9 @@
     new_requests = [slow_request(rng) for _ in range(4000)]
     p50_us, p99_us, max_us = latency_figures_us(slowest[2], new_requests)
     return [
-        f"{tried_count} sets tried in {seconds:.0f} s, {accepted_count} accepted under {LIMIT_US:g} us. The slowest found, on 4,000 "
-        f"new requests made to take long: p50 {p50_us:.1f} us, **p99 {p99_us:.1f} us**, max {max_us:.0f} us; by the price table "
+        f"{tried_count} sets tried in {seconds:.0f} s, {accepted_count} accepted under {LIMIT_US:g} us. "
+        f"The slowest found, on 4,000 new requests made to take long: p50 {p50_us:.1f} us, "
+        f"**p99 {p99_us:.1f} us**, max {max_us:.0f} us; by the price table "
         f"{slowest[2].cost / 1000:.1f} us. Its {len(slowest[1])} rules:",
         "",
         *(f"    {term}" for term in slowest[1]),
@@ -213,7 +214,8 @@
         round_ns = time_batches(step, 1, 20)
         ns_per_lookup = [quantile(round_ns, fraction) / len(addresses) for fraction in (0.5, 0.9)]
         lines.append(
-            f"| 100,000 IPv{4 if bits == 32 else 6} | {build_seconds:.2f} | {ns_per_lookup[0]:.0f} | {ns_per_lookup[1]:.0f} |"
+            f"| 100,000 IPv{4 if bits == 32 else 6} | {build_seconds:.2f} | {ns_per_lookup[0]:.0f} "
+            f"| {ns_per_lookup[1]:.0f} |"
         )
     return lines
 
@@ -243,9 +245,10 @@
     )
     install_seconds, longest_step_seconds, growth_in_server_kib, _ = map(float, completed.stdout.split())
     return [
-        f"10,000 rules, {len(text) // 1000} kB of text: compiled in {compile_seconds:.1f} s in the child (which grows by "
-        f"{growth_kib // 1024} MiB and ends), {len(compiled) // 1000} kB handed over, installed by the serving process in "
-        f"{install_seconds * 1000:.0f} ms in steps of at most {longest_step_seconds * 1000:.0f} ms; its memory grows by {growth_in_server_kib / 1024:.1f} MiB "
+        f"10,000 rules, {len(text) // 1000} kB of text: compiled in {compile_seconds:.1f} s in the child "
+        f"(which grows by {growth_kib // 1024} MiB and ends), {len(compiled) // 1000} kB handed over, "
+        f"installed by the serving process in {install_seconds * 1000:.0f} ms in steps of at most "
+        f"{longest_step_seconds * 1000:.0f} ms; its memory grows by {growth_in_server_kib / 1024:.1f} MiB "
         "once the text of the product is dropped."
     ]
 
@@ -289,8 +292,10 @@
 def main() -> int:
     """Print the page; `--write` also stores it."""
     parts = [
-        ("Time per request as rules grow", latency_by_rule_count), ("The worst set that is accepted", slowest_accepted_set),
-        ("Prefixes", prefix_lookups), ("Loading", loading_figures), ("Against cel-python", comparison_with_cel),
+        ("Time per request as rules grow", latency_by_rule_count),
+        ("The worst set that is accepted", slowest_accepted_set),
+        ("Prefixes", prefix_lookups), ("Loading", loading_figures),
+        ("Against cel-python", comparison_with_cel),
     ]  # fmt: skip
     lines = [
         "# Match rules, measured",
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,9 +1,9 @@
-"""Measures load shedding on the real program: `python -m benchmarks.overload [--write]`.
+"""Measure load shedding on the real program: `python -m benchmarks.overload [--write]`.
 
 Results are in docs/measurements. The relay runs on one core of its own, clients and gate servers on others, all
-on loopback. Arrivals are an open loop: they come at their times whatever the answers. Capacity is what a closed
-loop of clients gets through in the same run; 1x is 0.85 of it, the most that a queue bears. Bounded: some 90 s,
-at most 60,000 connections.
+on loopback. Arrivals are an open loop: their times don't depend on the answers. Capacity is the throughput of a
+closed loop of clients in the same run; 1x is 0.85 of it, the highest load at which the queue stays short. The
+run is bounded: some 90 s, at most 60,000 connections.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "measurements" / "overload.md"
 RUN_SECONDS = 6.0
-WARM_UP_SECONDS = 8.0  # of the usual load, so that shares are learned
+WARM_UP_SECONDS = 8.0  # at the usual load, in which load shedding learns the tenants' shares
 DEADLINES = {"booking": 3.2, "checkin": 1.2}  # seconds
 PRIORITY_WEIGHTS = {"booking": 3.0, "checkin": 1.0}
 BOOKING_FRACTION = 0.25  # of all arrivals
 TENANTS = ("qurum-fit", "nizwa-active", "sohar-strong", "salalah-swim")
 LOAD_FACTORS = (1.0, 2.0, 4.0)
-FULL_LOAD_FRACTION = 0.85  # of the capacity, that is 1x
+FULL_LOAD_FRACTION = 0.85  # of the capacity, at a load factor of 1
 USUAL_LOAD_FRACTION = 0.6  # of the capacity
 CLOSED_LOOP_CLIENTS = 6  # of each driver, to measure the capacity
 DRIVERS = 4  # processes
@@ -53,25 +53,25 @@
 
 
 class Answer(NamedTuple):
-    """What one client got."""
+    """The outcome of one client's request."""
 
     class_name: str
-    word: str  # the answer's first one; none, end or reset without an answer
-    seconds: float  # until it came
+    word: str  # first word of the answer; without an answer: none (timeout), end (closed) or reset
+    seconds: float  # until the outcome
 
 
 class Run(NamedTuple):
-    """What was seen of a relay under one load."""
+    """Measurements of a relay under one load."""
 
     answers: list[Answer]
-    call_seconds: list[float]  # of the console, sorted
-    console: dict[str, str]  # figures of `GET /overload`, empty without load shedding
+    call_seconds: list[float]  # response times of the console, ascending
+    console: dict[str, str]  # values of `GET /overload`, empty without load shedding
     cores: float  # used by the relay
     memory_kib: int
 
 
 async def serve_gate(ready: Any) -> None:
-    """Serve as a gate server that accepts everything and answers at once; send its port."""
+    """Serve as a gate server that accepts everything and answers at once; send its port to the parent."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError):
@@ -87,13 +87,13 @@
 
 
 def run_gate(ready: Any, core: int) -> None:
-    """Run one gate server, as a process."""
+    """Run one gate server, as a process pinned to the core."""
     os.sched_setaffinity(0, {core})
     asyncio.run(serve_gate(ready))
 
 
 async def run_client(port: int, class_name: str, tenant: str, number: int) -> Answer:
-    """Run one client: it connects, sends a line if it is up, and disconnects."""
+    """Run one client: it connects, exchanges one message if the answer is UP, and disconnects."""
     started_at = time.perf_counter()
     word = "none"
     try:
@@ -120,10 +120,10 @@
 
 
 class Driver:
-    """The clients of one process."""
+    """Load generator: the clients of one process."""
 
     def __init__(self, port: int, seed: int) -> None:
-        """Connect to a port; the seed sets classes, tenants, times and ids."""
+        """Drive the relay at a port; the seed determines classes, tenants, arrival times and ids."""
         self.port = port
         self.rng = random.Random(seed)
         self.numbers = iter(range(seed << 40, (seed + 1) << 40))
@@ -135,7 +135,7 @@
         return asyncio.create_task(run_client(self.port, class_name, tenant, next(self.numbers)))
 
     async def closed_loop(self, clients: int, seconds: float) -> list[Answer]:
-        """Run so many clients at any time."""
+        """Keep `clients` clients running for `seconds`; each starts anew when it ends."""
         answers: list[Answer] = []
         until = time.perf_counter() + seconds
 
@@ -147,7 +147,7 @@
         return answers
 
     async def open_loop(self, rate: float, seconds: float) -> list[Answer]:
-        """Start clients at a rate a second, whatever the answers."""
+        """Start `rate` clients a second for `seconds`, independently of the answers."""
         tasks: list[asyncio.Task[Answer]] = []
         due_at = time.perf_counter()
         until = due_at + seconds
@@ -161,21 +161,21 @@
 
 
 def run_open_loop(result: Any, core: int, port: int, seed: int, load: tuple[float, float]) -> None:
-    """Run a driver, as a process; the load is a rate a second and its seconds."""
+    """Run an open-loop driver, as a process; the load is clients a second and duration in seconds."""
     os.sched_setaffinity(0, {core})
     rate, seconds = load
     result.send(asyncio.run(Driver(port, seed).open_loop(rate, seconds)))
 
 
 def run_closed_loop(result: Any, core: int, port: int, seed: int, load: tuple[int, float]) -> None:
-    """Run a driver, as a process; the load is a number of clients and its seconds."""
+    """Run a closed-loop driver, as a process; the load is concurrent clients and duration in seconds."""
     os.sched_setaffinity(0, {core})
     clients, seconds = load
     result.send(asyncio.run(Driver(port, seed).closed_loop(clients, seconds)))
 
 
 def drive(target: Any, port: int, seed: int, load: tuple[float, float]) -> list[Answer]:
-    """Drive from several processes, each with this load; return all answers."""
+    """Run all drivers in parallel, each with this load; return all answers."""
     pipes = []
     for number in range(DRIVERS):
         receiver, sender = SPAWN.Pipe()
@@ -186,7 +186,7 @@
 
 
 def drive_rate(port: int, seed: int, rate: float, seconds: float) -> list[Answer]:
-    """Drive an open loop at a rate of all drivers together."""
+    """Run all drivers in an open loop; the rate (clients a second) is their total."""
     return drive(run_open_loop, port, seed, (rate / DRIVERS, seconds))
 
 
@@ -210,7 +210,7 @@
 
 
 class Relay:
-    """The program on a core of its own."""
+    """A relay process on a core of its own."""
 
     def __init__(self, folder: str, config: dict[str, Any]) -> None:
         """Start it and wait until it listens."""
@@ -243,12 +243,12 @@
             return str(answer.read().decode())
 
     def cpu_seconds(self) -> float:
-        """Return the processor time that it has used."""
+        """Return the processor time that the process has used."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def stop(self) -> int:
-        """Kill it; return the most memory that it held, in KiB."""
+        """Kill the process; return its peak resident memory in KiB."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         self.process.send_signal(signal.SIGKILL)
         self.process.wait()
@@ -257,7 +257,7 @@
 
 @contextlib.contextmanager
 def console_calls(relay: Relay) -> Iterator[list[float]]:
-    """Call the console again and again in a thread; yield the list of the seconds that each call takes."""
+    """Call the console periodically in a thread; yield a list that receives the seconds of each call."""
     call_seconds: list[float] = []
     is_done = False
 
@@ -279,7 +279,7 @@
 
 
 def run_relay(folder: str, config: dict[str, Any], seed: int, rate: float, usual_rate: float) -> Run:
-    """Run a relay under a rate; one that sheds load gets the usual rate first, so that shares are learned."""
+    """Run a relay at a rate; with load shedding, first at the usual rate, for it to learn tenants' shares."""
     relay = Relay(folder, config)
     sheds_load = "overload" in config
     console: dict[str, str] = {}
@@ -299,7 +299,7 @@
 
 
 def weight_fraction(answers: list[Answer], capacity: float) -> float:
-    """Return the priority weight that was served, of the best possible at this capacity (connections a second)."""
+    """Return the served fraction of the highest priority weight possible at this capacity (connections/s)."""
     served = sum(PRIORITY_WEIGHTS[answer.class_name] for answer in answers if answer.word == "UP")
     bookings = sum(answer.class_name == "booking" for answer in answers)
     checkins = sum(answer.class_name == "checkin" for answer in answers)
@@ -316,7 +316,7 @@
 
 
 def table_row(run: Run, factor: float, capacity: float, *, sheds_load: bool) -> str:
-    """Return a run as a row of the page."""
+    """Return a run as a row of the page's table."""
     answers = run.answers
     up_seconds = sorted(answer.seconds for answer in answers if answer.word == "UP")
     p50_ms = quantile(up_seconds, 0.5) * MS_PER_SECOND if up_seconds else 0.0
@@ -350,7 +350,7 @@
 
 
 def measure_capacity(folder: str, ports: list[int]) -> float:
-    """Return the connections a second that a closed loop of clients gets through."""
+    """Return the throughput of a closed loop of clients in connections a second."""
     relay = Relay(folder, relay_config(ports, sheds_load=False))
     answers = drive(run_closed_loop, relay.port, 1, (CLOSED_LOOP_CLIENTS, RUN_SECONDS))
     relay.stop()
@@ -375,7 +375,7 @@
 
 
 def main() -> int:
-    """Run all, print the page, and write it where that is asked for."""
+    """Run all loads and print the page; `--write` also stores it."""
     ports = start_servers()
     with tempfile.TemporaryDirectory() as folder:
         capacity = measure_capacity(folder, ports)
