--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -1,4 +1,4 @@
-"""Measure how soon fleet views settle and at what cost: `python -m benchmarks.fleet_view [--write] [--quick]`.
+"""Measure how soon fleet views settle and their cost: `python -m benchmarks.fleet_view [--write] [--quick]`.
 
 Four parts, which `--part` selects: settling times in virtual time by fleet size, from many seeds; wrongful
 removals in an hour of virtual time under packet loss; bytes sent; and real processes on loopback under the
@@ -140,7 +140,7 @@
 
 
 def measure_loss(job: tuple[float, int, float]) -> tuple[float, int, int]:
-    """Run 200 relays for a slice of the hour; return the loss and the counts of removals and expired leases."""
+    """Run 200 relays for a slice of the hour; return the loss, and counts of removals and expired leases."""
     loss, seed, seconds = job
     world = start_settled_fleet(200, seed)
     world.default.loss = loss
@@ -250,7 +250,7 @@
 
 
 def client_figures(history: History) -> tuple[int, int, float]:
-    """Return the clients served, those unanswered in time while their relay ran, and the longest answer in s."""
+    """Return the counts of clients served and of late answers by running relays, and the longest answer in s."""
     opened_at: dict[str, float] = {}
     longest_seconds, served = 0.0, 0
     for row in history.rows:
--- a/benchmarks/fleet_worth.py
+++ b/benchmarks/fleet_worth.py
@@ -44,8 +44,8 @@
 PAGE = Path(__file__).parent.parent / "docs" / "measurements" / "fleet_worth.md"
 RELAY_COUNT, SERVER_COUNT = 40, 24
 FAULT_AT_SECONDS, RELAYS_RETURN_AFTER_SECONDS, RUN_SECONDS = 30.0, 25.0, 75.0
-# A restarted server starts at the cold fraction of its capacity and reaches all of it after the warm-up. Until
-# then, it crashes when its load stays above the overload factor times its present capacity for too long.
+# A restarted server starts at the cold fraction of its capacity and reaches all of it after the warm-up.
+# Until then, it crashes when its load stays above the overload factor times its present capacity for too long.
 WARM_UP_SECONDS, COLD_CAPACITY_FRACTION, CRASH_OVERLOAD_FACTOR, CRASH_AFTER_SECONDS = 20.0, 0.16, 3.0, 1.5
 MEAN_CONNECTION_SECONDS, MEAN_CONNECTION_LOAD = 30.0, 0.01  # load as a fraction of a warm server's capacity
 USED_CAPACITY_FRACTION = 0.6  # of all servers, before the faults
@@ -245,7 +245,7 @@
             self.handle_event(relay, ServerListUpdate(ServerListKind.COMPLETE, entries))
 
     def sample_load(self) -> None:
-        """Sum up requested and served client-seconds; crash cold servers that were overloaded for too long."""
+        """Sum up requested and served client-seconds; crash cold servers that are overloaded too long."""
         for server in self.servers.values():
             load_ratio = server.load_ratio(self.now) if server.is_up else 0.0
             server.overloaded_seconds = (
--- a/benchmarks/machine.py
+++ b/benchmarks/machine.py
@@ -32,7 +32,7 @@
 
 
 def time_calls(step: Callable[[object], object], values: list[object]) -> list[float]:
-    """Return the ns of each call with one of the values, in ascending order; they include reading the clock."""
+    """Return the ns of each call with one of the values, in ascending order, including clock reads."""
     ns_per_call = []
     for value in values:
         started_at = time.perf_counter_ns()
--- a/examples/client.py
+++ b/examples/client.py
@@ -1,4 +1,4 @@
-"""Publishes a number a second through the relay and prints what comes back on a subscription."""
+"""Publish a number each second through the relay, and print the messages received on a subscription."""
 
 import asyncio
 import itertools
@@ -8,7 +8,7 @@
 
 
 async def main(count: int) -> None:
-    """Run until so many numbers were published, 0 for ever."""
+    """Publish `count` numbers; 0 runs until interrupted."""
     client = await nats.connect("nats://127.0.0.1:4222", name="example")
     subscription = await client.subscribe("feed")
     for n in itertools.islice(itertools.count(1), count or None):
--- a/examples/toy_servers.py
+++ b/examples/toy_servers.py
@@ -1,7 +1,7 @@
-"""Two toy NATS servers on ports 4223 and 4224 that pass messages on to each other's subscribers.
+"""Two toy NATS servers on ports 4223 and 4224 that forward messages to each other's subscribers.
 
-Type `hang 4223` to let one go silent, `cut 4223` to break its connections, `heal 4223` to let it speak again.
-No subject wildcards, no queue groups: for a trial of the relay and nothing else.
+Type `hang 4223` to make a server stop responding, `cut 4223` to close its connections, `heal 4223` to make it
+respond again. They support no subject wildcards or queue groups: use them only to try out the relay.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 
 async def main() -> None:
-    """Serve until the input ends."""
+    """Start the servers; run commands until the input ends."""
     peers: list[ToyServer] = []
     servers = {str(port): ToyServer(f"toy on {port}", peers, log_connections=True) for port in PORTS}
     for port, server in servers.items():
