--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -250,7 +250,7 @@
 
 
 def client_figures(history: History) -> tuple[int, int, float]:
-    """Return the counts of clients served and of late answers by running relays, and the longest answer in s."""
+    """Return the counts of clients served and of failed checks of answers, and the longest answer time in s."""
     opened_at: dict[str, float] = {}
     longest_seconds, served = 0.0, 0
     for row in history.rows:
