--- a/benchmarks/fleet_worth.py
+++ b/benchmarks/fleet_worth.py
@@ -54,7 +54,7 @@
 REQUEST_DEADLINE_SECONDS, MAX_REJECTIONS, RECONNECT_DELAY_SECONDS = 1.8, 4, (0.3, 2.0)
 MEAN_LIST_DELAY_SECONDS, SAMPLE_INTERVAL_SECONDS, ONE_WAY_DELAY_SECONDS = 0.5, 0.1, 0.001
 # From the death of relays until a view without a majority counts as stale, or until a new view without them;
-# from their return until a view with them. Measured: docs/measurements/fleet_view.md.
+# from their return until a view with them. See docs/measurements/fleet_view.md.
 STALE_VIEW_AFTER_SECONDS, VIEW_CHANGE_AFTER_SECONDS, JOIN_AFTER_SECONDS = 3.0, 1.7, 1.5
 
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -49,7 +49,7 @@
 MS_PER_SECOND = 1000
 KIB_PER_MIB = 1024
 
-SPAWN = multiprocessing.get_context("spawn")  # a fork beside the threads here could copy a lock that is held
+SPAWN = multiprocessing.get_context("spawn")  # forking beside running threads may copy a held lock
 
 
 class Answer(NamedTuple):
