--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -22,7 +22,7 @@
 }
 
 
-def told(one: records.Series | records.Figure) -> str:
+def format_result(one: records.Series | records.Figure) -> str:
     """A result as a line for the terminal."""
     if isinstance(one, records.Figure):
         return f"{one.name}: {one.value:.4g} {one.unit} ({one.low:.4g} to {one.high:.4g}, {one.runs} runs)"
@@ -34,7 +34,7 @@
     fitted = verdict.fit
     return (
         f"{one.name} [{one.unit}]: {shown}; {fitted.base:.4g} + {fitted.slope:.4g} * {fitted.form.value}, "
-        f"residual {fitted.residual:.1%}, largest predicted {verdict.error:+.1%}, counts: {verdict.counts}"
+        f"residual {fitted.residual:.1%}, largest predicted {verdict.prediction_error:+.1%}, counts: {verdict.counts}"
     )
 
 
@@ -52,12 +52,12 @@
     for part in [] if args.page else args.only or PARTS:
         found = importlib.import_module(f"benchmarks.capacity.{PARTS[part]}").measure(args.quick)
         for one in found:
-            print(told(one), flush=True)
-        store.keep(found, f"python -m benchmarks.capacity --only {part}", described())
+            print(format_result(one), flush=True)
+        store.add(found, f"python -m benchmarks.capacity --only {part}", described())
         if args.write:
             records.save(store)
     if args.write or args.page:
-        page.renew(store)
+        page.update_page(store)
     return 0
 
 
--- a/benchmarks/capacity/connections.py
+++ b/benchmarks/capacity/connections.py
@@ -20,12 +20,15 @@
 SIZES = {"line": (250, 500, 1_000, 2_000, 4_000), "nats": (75, 150, 300, 600, 1_200)}
 QUICK_SIZES = 25, 50, 100, 200
 SERVERS = 4
-AT_ONCE = 64  # clients that open at a time
-SETTLE, REST = 1.0, 4.0  # s after the last client is up; that are looked at
-DELIVERING, SLICES = 3.0, 20  # s; parts of a second in which the deliveries of that second go out
-EACH_SECOND = 1.0  # deliveries a connection and s
-DESCRIPTORS = 20_000  # of a relay; each client takes two
-SPARE = 512  # descriptors of this process besides the two a client
+CONCURRENT_OPENINGS = 64  # clients that open at a time
+SETTLE_SECONDS, REST_SECONDS = 1.0, 4.0  # s after the last client is up; that are looked at
+DELIVERY_SECONDS, SLICES_PER_SECOND = (
+    3.0,
+    20,
+)  # s; parts of a second in which the deliveries of that second go out
+DELIVERIES_PER_CONNECTION_SECOND = 1.0  # deliveries a connection and s
+RELAY_DESCRIPTORS = 20_000  # of a relay; each client takes two
+SPARE_DESCRIPTORS = 512  # descriptors of this process besides the two a client
 FRONTS: tuple[type[peers.LineFront] | type[peers.NatsFront], ...] = (peers.LineFront, peers.NatsFront)
 
 
@@ -44,7 +47,7 @@
 def settings(front: str, servers: list[peers.Address]) -> dict[str, Any]:
     """An operator's file for one front, with its defaults."""
     rows = [{"id": f"server-{n}", "addr": f"{host}:{port}"} for n, (host, port) in enumerate(servers)]
-    own: dict[str, Any] = {"front": front, "servers": rows, "sockets": DESCRIPTORS}
+    own: dict[str, Any] = {"front": front, "servers": rows, "sockets": RELAY_DESCRIPTORS}
     if front == "nats":
         own["tenants"] = [{"name": "club", "class": "checkin", "users": ["*"]}]
     return own
@@ -56,25 +59,25 @@
     servers = [await peers.serve(front.server, standing) for _ in range(SERVERS)]
     with tempfile.TemporaryDirectory() as folder:
         async with Relay(Path(folder), settings(front.name, [at for _, at in servers])) as relay:
-            cost = await _played(front, count, relay, standing)
+            cost = await _measure_phases(front, count, relay, standing)
     for server, _ in servers:
         server.close()
     return cost
 
 
-async def _played(front: Any, count: int, relay: Relay, standing: set[peers.Server]) -> Cost:
-    idle = relay.memory()
-    before, began = relay.processor(), time.monotonic()
-    clients = await peers.stand(front.client, relay.address, count, AT_ONCE)
-    took, opening = time.monotonic() - began, relay.processor() - before
-    await asyncio.sleep(SETTLE)
-    before, began = relay.processor(), time.monotonic()
-    await asyncio.sleep(REST)
-    resting = (relay.processor() - before) / (time.monotonic() - began)
-    memory = relay.memory() - idle
-    before, began = relay.processor(), time.monotonic()
+async def _measure_phases(front: Any, count: int, relay: Relay, standing: set[peers.Server]) -> Cost:
+    idle = relay.resident_bytes()
+    before, began = relay.processor_seconds(), time.monotonic()
+    clients = await peers.connect_clients(front.client, relay.address, count, CONCURRENT_OPENINGS)
+    took, opening = time.monotonic() - began, relay.processor_seconds() - before
+    await asyncio.sleep(SETTLE_SECONDS)
+    before, began = relay.processor_seconds(), time.monotonic()
+    await asyncio.sleep(REST_SECONDS)
+    resting = (relay.processor_seconds() - before) / (time.monotonic() - began)
+    memory = relay.resident_bytes() - idle
+    before, began = relay.processor_seconds(), time.monotonic()
     sent = await _deliver(standing)
-    spent = relay.processor() - before - resting * (time.monotonic() - began)
+    spent = relay.processor_seconds() - before - resting * (time.monotonic() - began)
     arrived = sum(client.messages for client in clients)
     for client in clients:
         client.transport.abort()
@@ -88,16 +91,18 @@
     """Send every connection its messages, spread over each second; how many that were."""
     loop, began, sent = asyncio.get_running_loop(), asyncio.get_running_loop().time(), 0
     connections = list(standing)
-    for turn in range(int(DELIVERING * SLICES)):
-        for server in connections[turn % SLICES :: SLICES]:
+    for turn in range(int(DELIVERY_SECONDS * SLICES_PER_SECOND)):
+        for server in connections[turn % SLICES_PER_SECOND :: SLICES_PER_SECOND]:
             server.deliver()
             sent += 1
-        await asyncio.sleep(max(0.0, began + (turn + 1) / SLICES / EACH_SECOND - loop.time()))
-    await asyncio.sleep(SETTLE)
+        await asyncio.sleep(
+            max(0.0, began + (turn + 1) / SLICES_PER_SECOND / DELIVERIES_PER_CONNECTION_SECOND - loop.time())
+        )
+    await asyncio.sleep(SETTLE_SECONDS)
     return sent
 
 
-KINDS = (
+COST_SERIES = (
     ("memory", "memory beyond the idle process", "B"),
     ("resting", "standing connections at rest", "us/s"),
     ("opening", "one connection opened, refusals before it included", "us"),
@@ -110,18 +115,18 @@
 def measure(quick: bool) -> list[Series | Figure]:
     """Both fronts by standing connections."""
     largest = max(max(sizes) for sizes in SIZES.values())
-    _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = min(most, 2 * largest + SPARE)
-    soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft < wanted:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, most))
+    _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    target_limit = min(hard_limit, 2 * largest + SPARE_DESCRIPTORS)
+    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if soft_limit < target_limit:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (target_limit, hard_limit))
     found: list[Series | Figure] = []
     for front in FRONTS:
         sizes = QUICK_SIZES if quick else SIZES[front.name]
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             costs = {size: runner.run(measure_one(front, size)) for size in sizes}
-        for name, title, unit in KINDS:
+        for name, title, unit in COST_SERIES:
             points = [point(size, [getattr(cost, name)]) for size, cost in costs.items()]
-            title_here = f"{front.name} front: {title}"
-            found.append(Series(f"{front.name}_{name}", title_here, "standing connections", unit, points))
+            full_title = f"{front.name} front: {title}"
+            found.append(Series(f"{front.name}_{name}", full_title, "standing connections", unit, points))
     return found
--- a/benchmarks/capacity/control_slopes.py
+++ b/benchmarks/capacity/control_slopes.py
@@ -26,18 +26,18 @@
 MEMBERS, QUICK_MEMBERS = (50, 100, 200, 400, 1_000), (20, 40, 80, 160)
 # 1 MiB, the most that a relay reads of an answer, ends before 7,500
 SERVERS, QUICK_SERVERS = (100, 300, 1_000, 3_000, 6_000), (50, 100, 200, 400)
-LISTED, QUICK_LISTED = (
+LISTED_SERVERS, QUICK_LISTED_SERVERS = (
     (100, 500, 1_500, 5_000),
     (50, 100, 200, 400),
 )  # on the list of the relay that is called
 ROUNDS, QUICK_ROUNDS = 5, 2
-CALLS = 200  # of one round of the cheap steps
+CALLS_PER_ROUND = 200  # of one round of the cheap steps
 CONSOLE_CALLS = 200
-HOLDERS = 3  # copies of a key
-NOW = 1.8e12  # Unix ms
+KEY_COPIES = 3  # copies of a key
+NOW_MS = 1.8e12  # Unix ms
 
 
-def timed(step: Callable[[], object], calls: int) -> float:
+def us_per_call(step: Callable[[], object], calls: int) -> float:
     """Us of processor a call."""
     began = time.process_time_ns()
     for _ in range(calls):
@@ -47,12 +47,12 @@
 
 def _entry(number: int, ms: int = 1) -> m.MapEntry:
     key = f"ban:10.{number >> 8}.{number & 255}.1:9001"
-    return m.MapEntry(key, m.HybridTimestamp(int(NOW) + ms, 0, "relay-00001"), NOW)
+    return m.MapEntry(key, m.HybridTimestamp(int(NOW_MS) + ms, 0, "relay-00001"), NOW_MS)
 
 
 def _full_map(entries: Iterable[m.MapEntry]) -> SharedMap:
     shared = SharedMap("relay-00000")
-    shared.merge(entries, NOW, 1)
+    shared.merge(entries, NOW_MS, 1)
     return shared
 
 
@@ -68,18 +68,18 @@
         shared, stamps = _full_map(entries), itertools.count(2)
 
         def put_one(shared: SharedMap = shared, stamps: itertools.count[int] = stamps) -> None:
-            shared.put("ban:10.0.0.1:9001", NOW, NOW + next(stamps), 5_600)
+            shared.put("ban:10.0.0.1:9001", NOW_MS, NOW_MS + next(stamps), 5_600)
 
         def merge_known(shared: SharedMap = shared, entries: tuple[m.MapEntry, ...] = entries) -> None:
-            shared.merge(entries, NOW, 5_600)
+            shared.merge(entries, NOW_MS, 5_600)
 
         def merge_new(entries: tuple[m.MapEntry, ...] = entries) -> None:
             _full_map(entries)
 
         calls = max(2, 8_192 // count)
-        known.append(point(count, [timed(merge_known, calls) for _ in range(rounds)]))
-        new.append(point(count, [timed(merge_new, calls) for _ in range(rounds)]))
-        put.append(point(count, [timed(put_one, CALLS) for _ in range(rounds)]))
+        known.append(point(count, [us_per_call(merge_known, calls) for _ in range(rounds)]))
+        new.append(point(count, [us_per_call(merge_new, calls) for _ in range(rounds)]))
+        put.append(point(count, [us_per_call(put_one, CALLS_PER_ROUND) for _ in range(rounds)]))
         size.append(point(count, [float(len(m.encode(entries)))]))
         tracemalloc.start()
         kept = _full_map(
@@ -97,7 +97,7 @@
     ]
 
 
-def owners(sizes: Iterable[int], rounds: int) -> list[Series]:
+def owner_lookups(sizes: Iterable[int], rounds: int) -> list[Series]:
     """Whose a key is."""
     owner = list[Point]()
     holders = list[Point]()
@@ -110,14 +110,16 @@
             view.owner(next(iter(keys)))
 
         def look_up_holders(view: View = view, keys: Iterable[str] = keys) -> None:
-            view.preference_list(next(iter(keys)), HOLDERS)
+            view.preference_list(next(iter(keys)), KEY_COPIES)
 
-        owner.append(point(count, [timed(look_up, CALLS // 4) for _ in range(rounds)]))
-        holders.append(point(count, [timed(look_up_holders, CALLS // 4) for _ in range(rounds)]))
+        owner.append(point(count, [us_per_call(look_up, CALLS_PER_ROUND // 4) for _ in range(rounds)]))
+        holders.append(
+            point(count, [us_per_call(look_up_holders, CALLS_PER_ROUND // 4) for _ in range(rounds)])
+        )
         encoded.append(point(count, [float(len(m.encode(view)))]))
     return [
         Series("owner_lookup", "whose a key is", "members", "us", owner),
-        Series("owner_holders", f"the {HOLDERS} members that hold a key", "members", "us", holders),
+        Series("owner_holders", f"the {KEY_COPIES} members that hold a key", "members", "us", holders),
         Series("view_bytes", "the view in one message", "members", "B", encoded),
     ]
 
@@ -125,7 +127,7 @@
 def _row(number: int) -> dict[str, object]:
     return {
         "id": f"gate-{number}", "addr": f"10.{number >> 8 & 255}.{number & 255}.1:9001", "zone": f"z{number % 24}",
-        "kind": "k", "cell": 0, "state": "up", "weight": 1.0, "started_ms": int(NOW),
+        "kind": "k", "cell": 0, "state": "up", "weight": 1.0, "started_ms": int(NOW_MS),
     }  # fmt: skip
 
 
@@ -135,8 +137,8 @@
     change = list[Point]()
     size = list[Point]()
     for count in sizes:
-        told = {"version": 1, "full": True, "servers": [_row(n) for n in range(count)]}
-        body = json.dumps(told).encode()
+        listing = {"version": 1, "full": True, "servers": [_row(n) for n in range(count)]}
+        body = json.dumps(listing).encode()
         one = json.dumps({"version": 2, "full": False, "servers": [_row(0)]}).encode()
         directory = ServerDirectory()
 
@@ -144,8 +146,8 @@
             return directory.apply_list(orjson.loads(body))
 
         calls = max(2, 4_096 // count)
-        whole.append(point(count, [timed(lambda: read(body), calls) for _ in range(rounds)]))  # noqa: B023
-        change.append(point(count, [timed(lambda: read(one), CALLS) for _ in range(rounds)]))  # noqa: B023
+        whole.append(point(count, [us_per_call(lambda: read(body), calls) for _ in range(rounds)]))  # noqa: B023
+        change.append(point(count, [us_per_call(lambda: read(one), CALLS_PER_ROUND) for _ in range(rounds)]))  # noqa: B023
         size.append(point(count, [float(len(body))]))
     return [
         Series("list_read", "the whole list parsed", "servers", "us", whole),
@@ -173,10 +175,10 @@
 
 
 async def _timed_calls(relay: Relay, path: str) -> float:
-    before = relay.processor()
+    before = relay.processor_seconds()
     for _ in range(CONSOLE_CALLS):
         await call_console(relay.console, path)
-    return (relay.processor() - before) / CONSOLE_CALLS * 1e6
+    return (relay.processor_seconds() - before) / CONSOLE_CALLS * 1e6
 
 
 def measure(quick: bool) -> list[Series | Figure]:
@@ -184,7 +186,7 @@
     rounds = QUICK_ROUNDS if quick else ROUNDS
     return [
         *shared_map(QUICK_ENTRIES if quick else ENTRIES, rounds),
-        *owners(QUICK_MEMBERS if quick else MEMBERS, rounds),
+        *owner_lookups(QUICK_MEMBERS if quick else MEMBERS, rounds),
         *server_list(QUICK_SERVERS if quick else SERVERS, rounds),
-        *asyncio.run(_console(QUICK_LISTED if quick else LISTED, rounds)),
+        *asyncio.run(_console(QUICK_LISTED_SERVERS if quick else LISTED_SERVERS, rounds)),
     ]
--- a/benchmarks/capacity/data_roles.py
+++ b/benchmarks/capacity/data_roles.py
@@ -4,46 +4,56 @@
 
 from benchmarks.capacity import demand as d
 from benchmarks.capacity import limits
-from benchmarks.capacity.needs import Measured, reckoned
-from benchmarks.capacity.role import CHANGE_RATE, CORE_US, SERVERS_SEEN, Role, Row, size
+from benchmarks.capacity.needs import Measured, calculated
+from benchmarks.capacity.role import (
+    CHANGES_PER_SECOND,
+    SERVERS_PER_RELAY,
+    US_PER_CORE_SECOND,
+    Role,
+    Row,
+    describe_limit,
+)
 
-MOST_SERVERS = 15_000  # that were measured
-GROUPED = 1.0  # part of arrivals that belong to a group: an assumption, the worst
-RETURN_WITHIN = 60.0  # s in which the clients of a lost rack or zone come again: an assumption
+LARGEST_MEASURED_SERVERS = 15_000  # that were measured
+GROUPED_ARRIVAL_SHARE = 1.0  # part of arrivals that belong to a group: an assumption, the worst
+RECONNECT_SECONDS = 60.0  # s in which the clients of a lost rack or zone come again: an assumption
 
 
 def connections(m: Measured) -> Role:
     """Standing connections."""
     each = d.CONNECTIONS_PER_RELAY
-    zone = d.CONNECTIONS / d.ZONES / (d.RELAYS * (1 - 1 / d.ZONES)) / RETURN_WITHIN
-    rack = d.RACK * each / d.RELAYS / RETURN_WITHIN
-    release = d.CONNECTIONS / (d.RELEASE_HOURS * 3600) / d.RELAYS
+    zone = d.CONNECTIONS / d.ZONES / (d.RELAYS * (1 - 1 / d.ZONES)) / RECONNECT_SECONDS
+    rack = d.MACHINES_PER_RACK * each / d.RELAYS / RECONNECT_SECONDS
+    release = d.CONNECTIONS / (d.RELEASE_DURATION_HOURS * 3600) / d.RELAYS
     rows: list[Row] = [
-        Row("descriptors", "", reckoned(2.0 * each, f"{each:,} connections x 2"), limits.DESCRIPTORS),
+        Row("descriptors", "", calculated(2.0 * each, f"{each:,} connections x 2"), limits.DESCRIPTORS),
         Row("nats: PINGs and PONGs at rest, out and in", "1/s",
-            reckoned(2 * each / limits.NATS_PING_S, f"{each:,} x 2, one to the server each {limits.NATS_PING_S:g} s")),
+            calculated(2 * each / limits.NATS_PING_INTERVAL_S, f"{each:,} x 2, one to the server each {limits.NATS_PING_INTERVAL_S:g} s")),
     ]  # fmt: skip
     for front in ("line", "nats"):
         resting, memory = m.at(f"{front}_resting", each), m.at(f"{front}_memory", each)
         rows += [
-            Row(f"{front}: processor at rest", "cores", resting.times(1 / CORE_US, "s a us"), 1.0),
+            Row(f"{front}: processor at rest", "cores", resting.times(1 / US_PER_CORE_SECOND, "s a us"), 1.0),
             Row(f"{front}: memory", "MiB", memory.times(2**-20, "MiB a byte")),
         ]
         for moment, rate in (("a rack lost", rack), ("a zone lost", zone), ("a release", release)):
-            opening = m.at(f"{front}_opening", max(series_largest(m, f"{front}_opening"), 1.0))
-            need = opening.times(rate / CORE_US, f"{rate:.1f} openings a s, in cores").reckoned()
+            opening = m.at(f"{front}_opening", max(largest_measured_size(m, f"{front}_opening"), 1.0))
+            need = opening.times(rate / US_PER_CORE_SECOND, f"{rate:.1f} openings a s, in cores").calculated()
             rows.append(Row(f"{front}: openings, {moment}", "cores", need, 1.0))
-    line, nats = m.breaks_at("line_resting", CORE_US), m.breaks_at("nats_resting", CORE_US)
+    line, nats = (
+        m.size_at_budget("line_resting", US_PER_CORE_SECOND),
+        m.size_at_budget("nats_resting", US_PER_CORE_SECOND),
+    )
     return Role(
         "a relay's connections", False, f"{each:,} clients, each with one connection to a server",
         "a process with one loop (`violetdoor/fronts`, `net/acceptor.py`); more than one process a machine: none yet",
         tuple(rows), "rack, zone and release: rows; a region that is cut off keeps its clients and its own servers",
-        f"line: {size(line, 'a core at rest')}; nats: {size(nats, 'a core at rest')}; "
+        f"line: {describe_limit(line, 'a core at rest')}; nats: {describe_limit(nats, 'a core at rest')}; "
         f"{limits.DESCRIPTORS // 2:,} connections spend the descriptors",
     )  # fmt: skip
 
 
-def series_largest(m: Measured, name: str) -> float:
+def largest_measured_size(m: Measured, name: str) -> float:
     """The largest size that was measured."""
     series = m.store.series.get(name)
     return 0.0 if series is None else max(point.size for point in series.points)
@@ -54,20 +64,24 @@
     rate, rows, breaks = d.DELIVERIES_PER_RELAY, list[Row](), list[str]()
     for front in ("line", "nats"):
         name = f"{front}_delivering"
-        one = m.at(name, max(series_largest(m, name), 1.0))
-        need = one.times(rate / CORE_US, f"{rate:,.0f} deliveries a s of each relay, in cores")
+        one = m.at(name, max(largest_measured_size(m, name), 1.0))
+        need = one.times(rate / US_PER_CORE_SECOND, f"{rate:,.0f} deliveries a s of each relay, in cores")
         rows.append(Row(f"{front}: processor", "cores", need, 1.0))
         if one.value:
             breaks.append(
-                f"{front}: {CORE_US / one.value:,.0f} deliveries a s spend a core, nothing else done"
+                f"{front}: {US_PER_CORE_SECOND / one.value:,.0f} deliveries a s spend a core, nothing else done"
             )
-    spread = d.LISTENERS_MOST / d.RELAYS
+    spread = d.LARGEST_TOPIC_LISTENERS / d.RELAYS
     rows.append(
-        Row("messages, in and out", "1/s", reckoned(2 * rate, f"2 x {rate:,.0f}, each comes in and goes out"))
+        Row(
+            "messages, in and out",
+            "1/s",
+            calculated(2 * rate, f"2 x {rate:,.0f}, each comes in and goes out"),
+        )
     )
     rows.append(Row(
         "listeners of the largest topic at one relay", "",
-        reckoned(spread, f"{d.LISTENERS_MOST:,} / {d.RELAYS:,}, if evenly spread"),
+        calculated(spread, f"{d.LARGEST_TOPIC_LISTENERS:,} / {d.RELAYS:,}, if evenly spread"),
     ))  # fmt: skip
     return Role(
         "a relay's deliveries", False, "bytes that wait for slow clients, bounded each",
@@ -80,33 +94,39 @@
 def decisions(m: Measured) -> Role:
     """The decision module."""
     each = d.CONNECTIONS_PER_RELAY
-    seen = f"{SERVERS_SEEN:,} servers"
-    tick, change = m.at("module_tick", SERVERS_SEEN), m.at("module_change", SERVERS_SEEN)
-    steady = tick.times(1 / CORE_US, "one a s, in cores").plus(
-        change.times(CHANGE_RATE / CORE_US, f"{CHANGE_RATE:.3f} changes a s, in cores")
+    seen = f"{SERVERS_PER_RELAY:,} servers"
+    tick, change = m.at("module_tick", SERVERS_PER_RELAY), m.at("module_change", SERVERS_PER_RELAY)
+    steady = tick.times(1 / US_PER_CORE_SECOND, "one a s, in cores").plus(
+        change.times(
+            CHANGES_PER_SECOND / US_PER_CORE_SECOND, f"{CHANGES_PER_SECOND:.3f} changes a s, in cores"
+        )
     )
     arrival = m.at("standing_arrival_group", each)
-    zone = d.CONNECTIONS / d.ZONES / (d.RELAYS * (1 - 1 / d.ZONES)) / RETURN_WITHIN
+    zone = d.CONNECTIONS / d.ZONES / (d.RELAYS * (1 - 1 / d.ZONES)) / RECONNECT_SECONDS
     busy = arrival.times(
-        zone * GROUPED / CORE_US, f"{zone:.1f} arrivals a s, all with groups, in cores"
-    ).reckoned()
+        zone * GROUPED_ARRIVAL_SHARE / US_PER_CORE_SECOND,
+        f"{zone:.1f} arrivals a s, all with groups, in cores",
+    ).calculated()
     memory = (
-        m.at("standing_memory", each).plus(m.at("module_memory", SERVERS_SEEN)).times(2**-20, "MiB a byte")
+        m.at("standing_memory", each)
+        .plus(m.at("module_memory", SERVERS_PER_RELAY))
+        .times(2**-20, "MiB a byte")
     )
     most = min(
-        m.breaks_at("module_tick", d.CORE_PART * CORE_US), m.breaks_at("module_change", d.CORE_PART * CORE_US)
+        m.size_at_budget("module_tick", d.CONTROL_CORE_SHARE * US_PER_CORE_SECOND),
+        m.size_at_budget("module_change", d.CONTROL_CORE_SHARE * US_PER_CORE_SECOND),
     )
     return Role(
         "a relay's decisions", False, f"a record of each request and of each of {seen}",
         "`violetdoor/balancing/`; a part of the servers for each relay where there are more: none yet",
         (
-            Row(f"ticks and changes of the list, {seen}", "cores", steady, d.CORE_PART),
-            Row(f"one arrival with a group that comes first since the list changed, {MOST_SERVERS:,} servers", "us",
-                m.at("module_arrival_new_group", MOST_SERVERS)),
+            Row(f"ticks and changes of the list, {seen}", "cores", steady, d.CONTROL_CORE_SHARE),
+            Row(f"one arrival with a group that comes first since the list changed, {LARGEST_MEASURED_SERVERS:,} servers", "us",
+                m.at("module_arrival_new_group", LARGEST_MEASURED_SERVERS)),
             Row("one arrival with a group, all connections standing", "us", arrival),
             Row("arrivals after a zone is lost", "cores", busy, 1.0),
             Row("memory", "MiB", memory),
         ),
         "zone: a row; a rack is 40 relays where a zone is 233; a release: 3.5 arrivals a s; a cut: the list stays as it was",
-        f"{size(most, 'the control part of a core by ticks, or by one change a s')} (servers that one relay may see)",
+        f"{describe_limit(most, 'the control part of a core by ticks, or by one change a s')} (servers that one relay may see)",
     )  # fmt: skip
--- a/benchmarks/capacity/fits.py
+++ b/benchmarks/capacity/fits.py
@@ -12,9 +12,13 @@
 
 from benchmarks.capacity.records import Point
 
-WITHIN = 0.2  # part of the measured value by which the prediction of the largest size may be off
-SIZES_LEAST = 4  # of a series: three to fit and one to predict
-SIMPLER = 0.01  # part by which a steeper form has to fit better than a flatter one before it is taken
+MAX_PREDICTION_ERROR = (
+    0.2  # part of the measured value by which the prediction of the largest size may be off
+)
+MIN_SIZES = 4  # of a series: three to fit and one to predict
+MIN_RESIDUAL_GAIN = (
+    0.01  # part by which a steeper form has to fit better than a flatter one before it is taken
+)
 
 
 class Form(Enum):
@@ -73,12 +77,12 @@
     if not points or any(point.value <= 0 for point in points):
         raise FitError("a fit takes points above zero")
     growths = [GROWTH[form](point.size) for point in points]
-    base, slope = _solved([point.value for point in points], growths)
+    base, slope = _weighted_least_squares([point.value for point in points], growths)
     errors = [(base + slope * g) / p.value - 1 for g, p in zip(growths, points, strict=True)]
     return Fit(form, base, slope, math.sqrt(sum(e * e for e in errors) / len(errors)))
 
 
-def _solved(values: list[float], growths: list[float]) -> tuple[float, float]:
+def _weighted_least_squares(values: list[float], growths: list[float]) -> tuple[float, float]:
     """Base and slope by weighted least squares; each error counts by its part of the value."""
     weights = [1.0 / (v * v) for v in values]
     total = sum(weights)
@@ -104,36 +108,42 @@
     fit: Fit  # over all sizes
     predicted: float  # for the largest size by the fit without it
     measured: float
-    passing: tuple[Fit, ...]  # over all sizes, of every form that predicted the largest within the limit
+    accepted_fits: tuple[
+        Fit, ...
+    ]  # over all sizes, of every form that predicted the largest within the limit
 
     @property
-    def error(self) -> float:
+    def prediction_error(self) -> float:
         """Of the prediction, as a part of what was measured."""
         return self.predicted / self.measured - 1
 
     @property
     def counts(self) -> bool:
-        return abs(self.error) <= WITHIN
+        return abs(self.prediction_error) <= MAX_PREDICTION_ERROR
 
     def range_at(self, size: float) -> tuple[float, float]:
         """Least and most that any form says that also predicted the largest size."""
-        found = [one.at(size) for one in (self.fit, *self.passing)]
+        found = [one.at(size) for one in (self.fit, *self.accepted_fits)]
         return min(found), max(found)
 
 
 def judge(points: Sequence[Point], form: Form | None = None) -> Verdict:
     """Choose a form by the sizes without the largest, unless it is given, and hold it against the largest."""
     ordered = sorted(points, key=lambda point: point.size)
-    if len({point.size for point in ordered}) < SIZES_LEAST:
-        raise FitError(f"a slope takes {SIZES_LEAST} sizes or more")
-    seen, largest = ordered[:-1], ordered[-1]
-    early = {one: fit(seen, one) for one in ([form] if form else Form)}
-    best = next(iter(early.values()))
-    for one in early.values():
-        if one.residual < best.residual - SIMPLER:
+    if len({point.size for point in ordered}) < MIN_SIZES:
+        raise FitError(f"a slope takes {MIN_SIZES} sizes or more")
+    smaller, largest = ordered[:-1], ordered[-1]
+    fits_without_largest = {one: fit(smaller, one) for one in ([form] if form else Form)}
+    best = next(iter(fits_without_largest.values()))
+    for one in fits_without_largest.values():
+        if one.residual < best.residual - MIN_RESIDUAL_GAIN:
             best = one
-    passing = [f for f, one in early.items() if abs(one.at(largest.size) / largest.value - 1) <= WITHIN]
+    accepted_fits = [
+        f
+        for f, one in fits_without_largest.items()
+        if abs(one.at(largest.size) / largest.value - 1) <= MAX_PREDICTION_ERROR
+    ]
     return Verdict(
         fit(ordered, best.form), best.at(largest.size), largest.value,
-        tuple(fit(ordered, one) for one in passing),
+        tuple(fit(ordered, one) for one in accepted_fits),
     )  # fmt: skip
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -29,10 +29,10 @@
 from violetdoor.fleet.context import NodeConfig
 from violetdoor.fleet.endpoint import FleetEndpoint
 
-COUNT, QUICK_COUNT = 20, 5
+RELAY_COUNT, QUICK_RELAY_COUNT = 20, 5
 ROUNDS, QUICK_ROUNDS = 2, 1
-SETTLE, REST, QUICK_REST = 3.0, 15.0, 5.0  # s
-FOUND_WITHIN = 40.0  # s until all stand at one view and hold a lease
+SETTLE_SECONDS, REST_SECONDS, QUICK_REST_SECONDS = 3.0, 15.0, 5.0  # s
+FOUNDING_TIMEOUT_SECONDS = 40.0  # s until all stand at one view and hold a lease
 PORT, CLIENT_PORT, CONSOLE_PORT = 7946, 8081, 8500
 KEY = b"k" * 32
 FOUNDERS = 3
@@ -46,7 +46,7 @@
     memory: float
 
 
-class Kinds(Struct):
+class Round(Struct):
     """The same number of members in four ways; `bare` are processes without a fleet."""
 
     hollow: Cost
@@ -59,23 +59,23 @@
     return f"127.0.1.{number + 1}"
 
 
-def _plan(number: int, count: int) -> NodeConfig:
+def _node_config(number: int, count: int) -> NodeConfig:
     seeds = tuple((_host(n), PORT) for n in range(min(FOUNDERS, count)) if n != number)
     founders = frozenset(f"relay-{n:05d}" for n in range(FOUNDERS))
     return NodeConfig(f"relay-{number:05d}", _host(number), PORT, "", seeds, founders)
 
 
-async def _until(true: Callable[[], Any], what: str) -> None:
-    deadline = time.monotonic() + FOUND_WITHIN
-    while not await true():
+async def _wait_until(condition: Callable[[], Any], what: str) -> None:
+    deadline = time.monotonic() + FOUNDING_TIMEOUT_SECONDS
+    while not await condition():
         if time.monotonic() > deadline:
             raise RuntimeError(f"{what} do not settle on one view")
         await asyncio.sleep(0.2)
 
 
-async def _rested(seconds: float, count: int, processor: Callable[[], float]) -> tuple[float, float]:
+async def _measure_at_rest(seconds: float, count: int, processor: Callable[[], float]) -> tuple[float, float]:
     """Bytes a member and s, out and in together, and part of a core a member."""
-    await asyncio.sleep(SETTLE)
+    await asyncio.sleep(SETTLE_SECONDS)
     volume, spent, began = quiet_net.bytes_on_loopback(), processor(), time.monotonic()
     await asyncio.sleep(seconds)
     took = time.monotonic() - began
@@ -86,15 +86,15 @@
 async def hollow(count: int, seconds: float) -> Cost:
     """So many members in this process."""
     before = rss_kib()
-    fleets = [FleetEndpoint(_plan(n, count), (_host(n), PORT), KEY) for n in range(count)]
+    fleets = [FleetEndpoint(_node_config(n, count), (_host(n), PORT), KEY) for n in range(count)]
     for fleet in fleets:
         fleet.start()
 
     async def settled() -> bool:
         return all(f.view is not None and len(f.view.members) == count and f.may_act() for f in fleets)
 
-    await _until(settled, "hollow relays")
-    volume, part = await _rested(seconds, count, time.process_time)
+    await _wait_until(settled, "hollow relays")
+    volume, part = await _measure_at_rest(seconds, count, time.process_time)
     memory = (rss_kib() - before) * 1024 / count
     for fleet in fleets:
         fleet.stop()
@@ -103,7 +103,7 @@
 
 
 def _settings(number: int, count: int, with_fleet: bool) -> dict[str, Any]:
-    plan, host = _plan(number, count), _host(number)
+    plan, host = _node_config(number, count), _host(number)
     fleet = {
         "listen": f"{host}:{PORT}", "key": "fleet.key", "founders": sorted(plan.founders),
         "seeds": [f"{at}:{port}" for at, port in plan.seeds], "wait": 0.1,
@@ -123,30 +123,30 @@
         relays = await asyncio.gather(*(stack.enter_async_context(relay) for relay in made))
 
         async def settled() -> bool:
-            told = [orjson.loads(await call_console(relay.console, "/fleet")) for relay in relays]
-            return all(one["size"] == count and one["may_act"] for one in told)
+            statuses = [orjson.loads(await call_console(relay.console, "/fleet")) for relay in relays]
+            return all(one["size"] == count and one["may_act"] for one in statuses)
 
         if with_fleet:
-            await _until(settled, "real relays")
+            await _wait_until(settled, "real relays")
 
         def processor() -> float:
-            return sum(relay.processor() for relay in relays)
+            return sum(relay.processor_seconds() for relay in relays)
 
-        volume, part = await _rested(seconds, count, processor)
-        return Cost(volume, part, sum(relay.memory() for relay in relays) / count)
+        volume, part = await _measure_at_rest(seconds, count, processor)
+        return Cost(volume, part, sum(relay.resident_bytes() for relay in relays) / count)
 
 
 def virtual(count: int) -> Cost:
     """So many members in virtual time, as the slopes have them."""
     world, seconds = hosts.settled_fleet(count), 60.0
     before = sum(world.bytes.values()) + world.datagram_bytes_in + 2 * world.call_bytes
-    spent = hosts.processor(world, seconds)
+    spent = hosts.run_measured(world, seconds)
     volume = sum(world.bytes.values()) + world.datagram_bytes_in + 2 * world.call_bytes - before
     return Cost(volume / count / seconds, spent / count / seconds, 0.0)
 
 
-async def _round(count: int, seconds: float) -> Kinds:
-    return Kinds(
+async def _measure_round(count: int, seconds: float) -> Round:
+    return Round(
         await hollow(count, seconds), await real(count, seconds, True), await real(count, seconds, False),
         virtual(count),
     )  # fmt: skip
@@ -154,10 +154,14 @@
 
 def main() -> int:
     """One round, in a network of its own; the result as JSON."""
-    quiet_net.enter()
+    quiet_net.enter_network_namespace()
     quick = sys.argv[1:] == ["--quick"]
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        found = runner.run(_round(QUICK_COUNT if quick else COUNT, QUICK_REST if quick else REST))
+        found = runner.run(
+            _measure_round(
+                QUICK_RELAY_COUNT if quick else RELAY_COUNT, QUICK_REST_SECONDS if quick else REST_SECONDS
+            )
+        )
     sys.stdout.write(msgspec.json.encode(found).decode())
     return 0
 
@@ -170,11 +174,11 @@
 def measure(quick: bool) -> list[Series | Figure]:
     """Ratios and their parts, from some rounds of a process each."""
     command = [sys.executable, "-m", "benchmarks.capacity.hollow", *(["--quick"] if quick else [])]
-    rounds: list[Kinds] = []
+    rounds: list[Round] = []
     for _ in range(QUICK_ROUNDS if quick else ROUNDS):
         done = subprocess.run(command, cwd=ROOT, env=os.environ, stdout=subprocess.PIPE, check=True)
-        rounds.append(msgspec.json.decode(done.stdout, type=Kinds))
-    count = QUICK_COUNT if quick else COUNT
+        rounds.append(msgspec.json.decode(done.stdout, type=Round))
+    count = QUICK_RELAY_COUNT if quick else RELAY_COUNT
     found: list[Series | Figure] = []
     for kind in ("hollow", "real", "bare", "virtual"):
         costs: list[Cost] = [getattr(one, kind) for one in rounds]
@@ -188,7 +192,7 @@
                 found.append(
                     _figure(f"{kind}_{what}", f"{count} {kind} relays: {what} of each", unit, values)
                 )
-    ratios: dict[str, Callable[[Kinds], float]] = {
+    ratios: dict[str, Callable[[Round], float]] = {
         "ratio_bytes": lambda k: k.hollow.volume / k.real.volume,
         "ratio_virtual_bytes": lambda k: k.virtual.volume / k.real.volume,
         "ratio_processor": lambda k: (k.real.processor - k.bare.processor) / k.hollow.processor,
--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -21,20 +21,20 @@
 
 PORT = 7946
 ZONES = 24
-SETTLE_WITHIN = 30.0  # virtual s
+SETTLE_TIMEOUT_SECONDS = 30.0  # virtual s
 
 # Of one call over TCP, both directions: SYN, SYN-ACK and ACK, four parts of data and their acknowledgements, FIN
 # and ACK of each side, 52 bytes of IPv4 and TCP with timestamps each and 8 more in the two SYNs; two random
 # numbers of 16 bytes, two lengths of 4 and two seals. Reckoned; the part `hollow` holds it against real ones.
-SEGMENTS = 3 + 8 + 4
-SEGMENT_HEADER = 52
-SEGMENT_BODY = 1448  # bytes of data in one Ethernet frame
-CALL_FIXED = SEGMENTS * SEGMENT_HEADER + 2 * 8 + 2 * 16 + 2 * 4 + 2 * TAG_BYTES
+SEGMENTS_PER_CALL = 3 + 8 + 4
+SEGMENT_HEADER_BYTES = 52
+SEGMENT_BODY_BYTES = 1448  # bytes of data in one Ethernet frame
+FIXED_CALL_BYTES = SEGMENTS_PER_CALL * SEGMENT_HEADER_BYTES + 2 * 8 + 2 * 16 + 2 * 4 + 2 * TAG_BYTES
 
 
-def call_bytes(body: int) -> int:
+def data_bytes_on_wire(body: int) -> int:
     """Bytes on the wire of the data of one direction beyond a call's fixed part."""
-    return body + (body // SEGMENT_BODY) * (SEGMENT_HEADER + SEGMENT_HEADER // 2)
+    return body + (body // SEGMENT_BODY_BYTES) * (SEGMENT_HEADER_BYTES + SEGMENT_HEADER_BYTES // 2)
 
 
 class CountingWorld(World):
@@ -46,7 +46,7 @@
         self.datagram_bytes_in = 0
         self.calls = 0
         self.call_bytes = 0  # out and in together, of both ends once
-        self.call_sizes: Counter[str] = Counter()
+        self.call_bytes_by_message: Counter[str] = Counter()
 
     def _send(self, host: Host, address: Address, packet: m.Packet) -> None:
         before = self.bytes[host.name]
@@ -57,7 +57,7 @@
 
     def _call(self, host: Host, address: Address, number: int, request: m.Request, within: float) -> None:
         self.calls += 1
-        self._count_call(request, CALL_FIXED)
+        self._count_call(request, FIXED_CALL_BYTES)
         super()._call(host, address, number, request, within)
 
     def _answered(
@@ -68,19 +68,19 @@
         super()._answered(host, life, number, answer, refused)
 
     def _count_call(self, message: m.Request | m.Response, fixed: int) -> None:
-        size = call_bytes(len(m.encode(message))) + fixed
+        size = data_bytes_on_wire(len(m.encode(message))) + fixed
         self.call_bytes += size
-        self.call_sizes[type(message).__name__] += size
+        self.call_bytes_by_message[type(message).__name__] += size
 
 
-def names(count: int) -> list[str]:
+def member_names(count: int) -> list[str]:
     """Members of a virtual fleet, in the order of their view."""
     return [f"relay-{n:05d}" for n in range(count)]
 
 
 def settled_fleet(size: int, seed: int = 1) -> CountingWorld:
     """A fleet of so many members that all hold a lease. Raises RuntimeError where they don't get one."""
-    world, everybody = CountingWorld(seed), names(size)
+    world, everybody = CountingWorld(seed), member_names(size)
     places = [(name, world.host(name).address) for name in everybody]
     peers = [_peer(name, address, n) for n, (name, address) in enumerate(places)]
     view = View(1 << 16, 2, sorted_by_name(peers))
@@ -89,8 +89,8 @@
     for peer in peers:
         host = world.host(peer.name)
         host.life += 1
-        plan = NodeConfig(peer.name, *host.address, peer.zone, seeds, founders)
-        node = Node(plan, Random(world.random.getrandbits(64)), world.clock(host), lambda: UNIX)
+        config = NodeConfig(peer.name, *host.address, peer.zone, seeds, founders)
+        node = Node(config, Random(world.random.getrandbits(64)), world.clock(host), lambda: UNIX)
         handover = handover_state_decoder.decode(
             m.encode(_handover(peer, view, world.clock(host)))
         )  # an own copy of the view
@@ -98,21 +98,21 @@
         host.node = node
         world.carry_out_actions(host)
         world._push(world.now + world.random.random() * 0.25, world._wake, host, host.life)
-    if not world.run(SETTLE_WITHIN, lambda: _live(world, everybody[-1]) and world.settled(everybody)):
+    if not world.run(
+        SETTLE_TIMEOUT_SECONDS, lambda: _has_lease(world, everybody[-1]) and world.settled(everybody)
+    ):
         raise RuntimeError(f"{size} members that take up a view do not settle")
     return world
 
 
-def _live(world: World, name: str) -> bool:
+def _has_lease(world: World, name: str) -> bool:
     host = world.hosts[name]
     return host.node is not None and host.node.may_act(world.clock(host))
 
 
 def _peer(name: str, address: Address, place: int) -> Peer:
-    draw = Random(name)
-    return Peer(
-        name, draw.getrandbits(62) | 1, *address, f"zone-{place % ZONES}", draw.getrandbits(62) | 1, 1
-    )
+    rng = Random(name)
+    return Peer(name, rng.getrandbits(62) | 1, *address, f"zone-{place % ZONES}", rng.getrandbits(62) | 1, 1)
 
 
 def _handover(peer: Peer, view: View, now: float) -> HandoverState:
@@ -129,7 +129,7 @@
     )  # fmt: skip
 
 
-def processor(world: World, seconds: float) -> float:
+def run_measured(world: World, seconds: float) -> float:
     """Let virtual time pass; processor time that it took, in s."""
     began = time.process_time()
     world.run(seconds)
@@ -138,5 +138,5 @@
 
 def view_of(size: int) -> View:
     """A view of so many members."""
-    peers = [_peer(name, ("10.0.0.1", PORT), place) for place, name in enumerate(names(size))]
+    peers = [_peer(name, ("10.0.0.1", PORT), place) for place, name in enumerate(member_names(size))]
     return View(1 << 16, 2, sorted_by_name(peers))
--- a/benchmarks/capacity/limits.py
+++ b/benchmarks/capacity/limits.py
@@ -12,16 +12,16 @@
 from violetdoor.net.discovery_client import MAX_BODY_BYTES
 from violetdoor.net.server_list_watch import WATCH_HOLD_MS
 
-VIEW_MEMBERS = MAX_MEMBERS
-VIEW_JOINS = MAX_JOINS_PER_CHANGE  # by one change
-VIEW_FRAME = MAX_FRAME_BYTES  # bytes
-VIEW_DATAGRAM = MAX_DATAGRAM_BYTES  # bytes
-VIEW_SYNC_S = SYNC_INTERVAL_SECONDS
-MAP_ENTRIES = MAX_ENTRIES
-MAP_TOMBSTONE_S = TOMBSTONE_RETENTION_MS / 1000
-LIST_BODY = MAX_BODY_BYTES  # bytes
+MAX_VIEW_MEMBERS = MAX_MEMBERS
+VIEW_JOINS_PER_CHANGE = MAX_JOINS_PER_CHANGE  # by one change
+VIEW_FRAME_BYTES = MAX_FRAME_BYTES  # bytes
+VIEW_DATAGRAM_BYTES = MAX_DATAGRAM_BYTES  # bytes
+VIEW_SYNC_INTERVAL_S = SYNC_INTERVAL_SECONDS
+MAX_MAP_ENTRIES = MAX_ENTRIES
+MAP_TOMBSTONE_RETENTION_S = TOMBSTONE_RETENTION_MS / 1000
+LIST_BODY_BYTES = MAX_BODY_BYTES  # bytes
 LIST_HOLD_S = WATCH_HOLD_MS / 1000
-LIST_CALL_S = POLL_SERVICE_TIME_MS / 1000  # time that serving one complete list keeps discovery busy
-CONSOLE_CALLERS = MAX_CALLERS
-NATS_PING_S = Nats().ping_interval  # s between two PINGs to a server, for each client
+LIST_SERVICE_TIME_S = POLL_SERVICE_TIME_MS / 1000  # time that serving one complete list keeps discovery busy
+MAX_CONSOLE_CALLERS = MAX_CALLERS
+NATS_PING_INTERVAL_S = Nats().ping_interval  # s between two PINGs to a server, for each client
 DESCRIPTORS = 20_000  # of one relay on the platform; a connection takes two
--- a/benchmarks/capacity/module_slopes.py
+++ b/benchmarks/capacity/module_slopes.py
@@ -26,10 +26,10 @@
 STANDING, QUICK_STANDING = (1_000, 2_000, 4_000, 8_000, 16_000), (100, 200, 400, 800)
 STANDING_SERVERS = 100  # that a relay sees while its connections are varied
 ROUNDS, QUICK_ROUNDS = 5, 2  # a point is the median of so many rounds
-CALLS = 40  # events of one round
+CALLS_PER_ROUND = 40  # events of one round
 GROUPS = 64
 ZONES = 24
-INTERVAL = 1_000.0  # ms between two ticks
+TICK_INTERVAL_MS = 1_000.0  # ms between two ticks
 
 
 def entries(count: int) -> tuple[ServerEntry, ...]:
@@ -37,7 +37,7 @@
     return tuple(ServerEntry(f"10.{n >> 8}.{n & 255}.1:9001", f"zone-{n % ZONES}") for n in range(count))
 
 
-class Driven:
+class BalancerDriver:
     """A module as an operator's file sets it, driven by hand; times are ms."""
 
     def __init__(self, servers: int) -> None:
@@ -69,24 +69,24 @@
 
     def tick(self) -> None:
         """The interval is over."""
-        self.now += INTERVAL
+        self.now += TICK_INTERVAL_MS
         self.balancer.handle(self.now, TimerFired("tick"))
 
-    def change(self) -> None:
+    def update_server(self) -> None:
         """One server's line of the list comes anew."""
         self.balancer.handle(self.now, ServerListUpdate(ServerListKind.INCREMENTAL, (next(self.changes),)))
 
-    def whole(self) -> None:
+    def replace_list(self) -> None:
         """The whole list comes anew."""
         self.balancer.handle(self.now, ServerListUpdate(ServerListKind.COMPLETE, self.entries))
 
-    def hold(self, count: int) -> None:
+    def establish_connections(self, count: int) -> None:
         """Let connections stand."""
         for number in range(count):
             self.arrive(number % GROUPS)
 
 
-def timed(step: Callable[[], object], calls: int) -> float:
+def us_per_call(step: Callable[[], object], calls: int) -> float:
     """Us of processor a call."""
     began = time.process_time_ns()
     for _ in range(calls):
@@ -94,24 +94,24 @@
     return (time.process_time_ns() - began) / calls / 1e3
 
 
-def _arrivals(driven: Driven, groups: Iterator[int] | None) -> Callable[[], None]:
+def _arrival_step(driver: BalancerDriver, groups: Iterator[int] | None) -> Callable[[], None]:
     def step() -> None:
-        driven.end(driven.arrive(None if groups is None else next(groups)))
+        driver.end(driver.arrive(None if groups is None else next(groups)))
 
     return step
 
 
-def _steps(driven: Driven) -> dict[str, Callable[[], object]]:
-    known, fresh = itertools.cycle(range(GROUPS)), itertools.count(GROUPS)
+def _steps(driver: BalancerDriver) -> dict[str, Callable[[], object]]:
+    known, new = itertools.cycle(range(GROUPS)), itertools.count(GROUPS)
     for group in range(GROUPS):
-        driven.balancer.groups.server_order(group)
+        driver.balancer.groups.server_order(group)
     return {
-        "module_arrival": _arrivals(driven, None),
-        "module_arrival_group": _arrivals(driven, known),
-        "module_arrival_new_group": _arrivals(driven, fresh),
-        "module_tick": driven.tick,
-        "module_change": driven.change,
-        "module_whole_list": driven.whole,
+        "module_arrival": _arrival_step(driver, None),
+        "module_arrival_group": _arrival_step(driver, known),
+        "module_arrival_new_group": _arrival_step(driver, new),
+        "module_tick": driver.tick,
+        "module_change": driver.update_server,
+        "module_whole_list": driver.replace_list,
     }
 
 
@@ -134,27 +134,27 @@
 def _by_servers(sizes: Iterable[int], rounds: int) -> list[Series]:
     found: dict[str, list[Point]] = {name: [] for name in TITLES}
     for size in sizes:
-        driven = Driven(size)
-        for name, step in _steps(driven).items():
+        driver = BalancerDriver(size)
+        for name, step in _steps(driver).items():
             step()
-            found[name].append(point(size, [timed(step, CALLS) for _ in range(rounds)]))
+            found[name].append(point(size, [us_per_call(step, CALLS_PER_ROUND) for _ in range(rounds)]))
     return [Series(name, TITLES[name], "servers", "us", points) for name, points in found.items()]
 
 
 def _by_standing(sizes: Iterable[int], rounds: int) -> list[Series]:
     found: dict[str, list[Point]] = {name: [] for name in STANDING_TITLES}
     for size in sizes:
-        driven = Driven(STANDING_SERVERS)
-        driven.hold(size)
-        steps = _steps(driven)
+        driver = BalancerDriver(STANDING_SERVERS)
+        driver.establish_connections(size)
+        steps = _steps(driver)
         for name, points in found.items():
             step = steps[name.replace("standing", "module")]
             step()
-            points.append(point(size, [timed(step, CALLS) for _ in range(rounds)]))
+            points.append(point(size, [us_per_call(step, CALLS_PER_ROUND) for _ in range(rounds)]))
     return [Series(n, STANDING_TITLES[n], "standing connections", "us", p) for n, p in found.items()]
 
 
-def _held(make: Callable[[], object]) -> float:
+def _object_bytes(make: Callable[[], object]) -> float:
     """Bytes that Python's objects of something take."""
     tracemalloc.start()
     kept = make()
@@ -164,18 +164,18 @@
     return float(size)
 
 
-def _with_standing(count: int) -> Driven:
-    driven = Driven(STANDING_SERVERS)
-    driven.hold(count)
-    return driven
+def _with_standing(count: int) -> BalancerDriver:
+    driver = BalancerDriver(STANDING_SERVERS)
+    driver.establish_connections(count)
+    return driver
 
 
 def measure(quick: bool) -> list[Series | Figure]:
     """All series of the module."""
     rounds = QUICK_ROUNDS if quick else ROUNDS
     servers, standing = (QUICK_SERVERS, QUICK_STANDING) if quick else (SERVERS, STANDING)
-    by_server = [point(n, [_held(lambda n=n: Driven(n))]) for n in servers]  # type: ignore[misc]
-    by_connection = [point(n, [_held(lambda n=n: _with_standing(n))]) for n in standing]  # type: ignore[misc]
+    by_server = [point(n, [_object_bytes(lambda n=n: BalancerDriver(n))]) for n in servers]  # type: ignore[misc]
+    by_connection = [point(n, [_object_bytes(lambda n=n: _with_standing(n))]) for n in standing]  # type: ignore[misc]
     return [
         *_by_servers(servers, rounds),
         *_by_standing(standing, rounds),
--- a/benchmarks/capacity/moment_slopes.py
+++ b/benchmarks/capacity/moment_slopes.py
@@ -8,14 +8,19 @@
 from dataclasses import dataclass
 
 from benchmarks.capacity import demand, hosts
-from benchmarks.capacity.fleet_slopes import EVENT, WORKERS, extra_of, spent_in
+from benchmarks.capacity.fleet_slopes import (
+    EVENT_SECONDS,
+    WORKER_PROCESSES,
+    measure_extra_usage,
+    measure_usage,
+)
 from benchmarks.capacity.records import Figure, Series, point
 
-RUNS = {50: 3, 100: 3, 200: 2, 400: 1}
-QUICK_RUNS = {24: 1, 30: 1, 40: 1, 50: 1}
-REST = 10.0  # virtual s
-PARTS = {
-    "rack": demand.RACK / demand.RELAYS,
+SEEDS_BY_SIZE = {50: 3, 100: 3, 200: 2, 400: 1}
+QUICK_SEEDS_BY_SIZE = {24: 1, 30: 1, 40: 1, 50: 1}
+REST_SECONDS = 10.0  # virtual s
+LOST_FLEET_SHARE = {
+    "rack": demand.MACHINES_PER_RACK / demand.RELAYS,
     "zone": 1 / demand.ZONES,
     "region": 1 / demand.REGIONS,
 }  # of the fleet that each takes along
@@ -37,28 +42,28 @@
     size, seed = job
     gc.disable()
     world = hosts.settled_fleet(size, seed)
-    rest = spent_in(world, REST)
-    members = hosts.names(size)
+    rest = measure_usage(world, REST_SECONDS)
+    members = hosts.member_names(size)
 
     def extra() -> float:
-        return extra_of(world, size, rest, EVENT / REST)[0]
+        return measure_extra_usage(world, size, rest, EVENT_SECONDS / REST_SECONDS)[0]
 
-    away = members[-max(1, round(size * PARTS["region"])) :]
-    world.set_links(away, members[: -len(away)], cut=True)
+    cut_off_members = members[-max(1, round(size * LOST_FLEET_SHARE["region"])) :]
+    world.set_links(cut_off_members, members[: -len(cut_off_members)], cut=True)
     region_cut = extra()
     world.heal()
     region_healed = extra()
-    lost, found = size // 2, dict[str, float]()
+    next_lost, found = size // 2, dict[str, float]()
     for moment in ("rack", "zone"):
-        count = max(1, round(size * PARTS[moment]))
-        for name in members[lost : lost + count]:
+        count = max(1, round(size * LOST_FLEET_SHARE[moment]))
+        for name in members[next_lost : next_lost + count]:
             world.kill(name)
-        lost += count
+        next_lost += count
         found[moment] = extra()
     return Cost(size, found["rack"], found["zone"], region_cut, region_healed)
 
 
-KINDS = (
+COST_SERIES = (
     ("rack", "a rack dies, at least one relay"),
     ("zone", "a zone dies"),
     ("region_cut", "a region is cut off"),
@@ -68,14 +73,14 @@
 
 def measure(quick: bool) -> list[Series | Figure]:
     """All moments by members."""
-    runs = QUICK_RUNS if quick else RUNS
+    runs = QUICK_SEEDS_BY_SIZE if quick else SEEDS_BY_SIZE
     jobs = [(size, seed) for size in sorted(runs, reverse=True) for seed in range(1, runs[size] + 1)]
     context = multiprocessing.get_context("spawn")
-    with ProcessPoolExecutor(WORKERS, mp_context=context, max_tasks_per_child=1) as pool:
+    with ProcessPoolExecutor(WORKER_PROCESSES, mp_context=context, max_tasks_per_child=1) as pool:
         costs = list(pool.map(measure_one, jobs))
     found: list[Series | Figure] = []
-    for name, title in KINDS:
+    for name, title in COST_SERIES:
         points = [point(n, [getattr(c, name) for c in costs if c.size == n]) for n in sorted(runs)]
-        shown = f"{title}: each member beyond rest, in the {EVENT:g} s that follow"
+        shown = f"{title}: each member beyond rest, in the {EVENT_SECONDS:g} s that follow"
         found.append(Series(f"moment_{name}", shown, "members", "B", points))
     return found
--- a/benchmarks/capacity/needs.py
+++ b/benchmarks/capacity/needs.py
@@ -15,20 +15,20 @@
 
     MEASURED = "measured"
     EXTRAPOLATED = "extrapolated"
-    RECKONED = "reckoned"  # from settings, code and stated assumptions alone
+    CALCULATED = "reckoned"  # from settings, code and stated assumptions alone
     FLOOR = "at least"  # the slope does not count: what was measured at the largest size
     MISSING = "not measured"
 
 
-WEAKEST = (Kind.MISSING, Kind.FLOOR, Kind.RECKONED, Kind.EXTRAPOLATED, Kind.MEASURED)
+KINDS_WEAKEST_FIRST = (Kind.MISSING, Kind.FLOOR, Kind.CALCULATED, Kind.EXTRAPOLATED, Kind.MEASURED)
 
 
-def exact(value: float) -> str:
+def format_exact(value: float) -> str:
     """A set value as it is, thousands apart."""
     return f"{value:,.10g}"
 
 
-def number(value: float) -> str:
+def format_rounded(value: float) -> str:
     """A measured or reckoned value: three digits, thousands apart."""
     if abs(value) >= 1000:
         digits = len(str(int(abs(value))))
@@ -44,32 +44,32 @@
     low: float
     high: float
     kind: Kind
-    chain: str
+    arithmetic: str
     sources: frozenset[str] = frozenset()
 
     def times(self, factor: float, why: str) -> Need:
         """Scaled; `why` says what the factor is."""
         return replace(
             self, value=self.value * factor, low=self.low * factor, high=self.high * factor,
-            chain=f"({self.chain}) x {number(factor)} ({why})",
+            arithmetic=f"({self.arithmetic}) x {format_rounded(factor)} ({why})",
         )  # fmt: skip
 
     def plus(self, other: Need) -> Need:
         """The sum; as weak as the weaker of the two."""
-        kind = min(self.kind, other.kind, key=WEAKEST.index)
+        kind = min(self.kind, other.kind, key=KINDS_WEAKEST_FIRST.index)
         return Need(
             self.value + other.value, self.low + other.low, self.high + other.high, kind,
-            f"{self.chain} + {other.chain}", self.sources | other.sources,
+            f"{self.arithmetic} + {other.arithmetic}", self.sources | other.sources,
         )  # fmt: skip
 
-    def reckoned(self) -> Need:
+    def calculated(self) -> Need:
         """The same, where an assumption came into it."""
-        return replace(self, kind=min(self.kind, Kind.RECKONED, key=WEAKEST.index))
+        return replace(self, kind=min(self.kind, Kind.CALCULATED, key=KINDS_WEAKEST_FIRST.index))
 
 
-def reckoned(value: float, chain: str) -> Need:
+def calculated(value: float, arithmetic: str) -> Need:
     """From settings and assumptions alone."""
-    return Need(value, value, value, Kind.RECKONED, chain)
+    return Need(value, value, value, Kind.CALCULATED, arithmetic)
 
 
 class Measured:
@@ -93,19 +93,19 @@
         series, verdict = self.store.series.get(name), self.verdict(name)
         if series is None or verdict is None:
             return Need(0.0, 0.0, 0.0, Kind.MISSING, f"{name}: not measured")
-        sources, largest = frozenset({source(series)}), max(series.points, key=lambda p: p.size)
+        sources, largest = frozenset({format_source(series)}), max(series.points, key=lambda p: p.size)
         if not verdict.counts and size <= largest.size:
             return _between(series, size)
         if not verdict.counts:
-            chain = f"{name} at {number(largest.size)}, beyond which its slope does not count"
-            return Need(largest.value, largest.low, largest.high, Kind.FLOOR, chain, sources)
+            arithmetic = f"{name} at {format_rounded(largest.size)}, beyond which its slope does not count"
+            return Need(largest.value, largest.low, largest.high, Kind.FLOOR, arithmetic, sources)
         fitted = verdict.fit
-        form = "" if not fitted.slope else f" + {number(fitted.slope)} x {fitted.form.value}"
+        form = "" if not fitted.slope else f" + {format_rounded(fitted.slope)} x {fitted.form.value}"
         beyond = size / largest.size
-        chain = f"{name}: {number(fitted.base)}{form}, n = {number(size)}, {number(beyond)} times the largest measured"
+        arithmetic = f"{name}: {format_rounded(fitted.base)}{form}, n = {format_rounded(size)}, {format_rounded(beyond)} times the largest measured"
         low, high = verdict.range_at(size)
         kind = Kind.EXTRAPOLATED if beyond > 1.0 else Kind.MEASURED
-        return Need(fitted.at(size), low, high, kind, chain, sources)
+        return Need(fitted.at(size), low, high, kind, arithmetic, sources)
 
     def figure(self, name: str) -> Need:
         """A single figure."""
@@ -117,11 +117,11 @@
             one.low,
             one.high,
             Kind.MEASURED,
-            f"{name} {number(one.value)}",
-            frozenset({source(one)}),
+            f"{name} {format_rounded(one.value)}",
+            frozenset({format_source(one)}),
         )
 
-    def breaks_at(self, name: str, budget: float) -> float:
+    def size_at_budget(self, name: str, budget: float) -> float:
         """The size at which a series reaches a budget; infinite where none is known.
 
         Where its slope does not count, only sizes between measured ones are looked at.
@@ -149,10 +149,10 @@
         getattr(before, of) + part * (getattr(after, of) - getattr(before, of))
         for of in ("value", "low", "high")
     )
-    chain = f"{series.name} at {number(size)}, between those measured"
-    return Need(value, low, high, Kind.MEASURED, chain, frozenset({source(series)}))
+    arithmetic = f"{series.name} at {format_rounded(size)}, between those measured"
+    return Need(value, low, high, Kind.MEASURED, arithmetic, frozenset({format_source(series)}))
 
 
-def source(one: Series | Figure) -> str:
+def format_source(one: Series | Figure) -> str:
     """Command and revision, short."""
     return f"{one.command.removeprefix('python -m benchmarks.capacity ')} at {one.revision}"
--- a/benchmarks/capacity/peers.py
+++ b/benchmarks/capacity/peers.py
@@ -10,36 +10,36 @@
 Address = tuple[str, int]
 
 HOST = "127.0.0.1"
-UP_WITHIN = 20.0  # s until a client's connection has to be up
-ATTEMPTS, AGAIN = 20, 1.0  # of a client that is refused; s between two
+ESTABLISH_TIMEOUT_SECONDS = 20.0  # s until a client's connection has to be up
+MAX_ATTEMPTS, RETRY_DELAY_SECONDS = 20, 1.0  # of a client that is refused; s between two
 SUBJECT = b"feed"
 BODY = b"x" * 64  # of one delivery
 INFO = b'INFO {"server_id":"capacity","headers":true,"max_payload":65536}\r\n'
 CONNECT = b'CONNECT {"verbose":false,"user":"club"}\r\nPING\r\nSUB feed 1\r\n'
 
 
-class Lines(asyncio.Protocol):
+class CrlfProtocol(asyncio.Protocol):
     """One side of a connection that is read line by line."""
 
     transport: asyncio.Transport
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.partial_line = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its class
 
     def data_received(self, data: bytes) -> None:
-        *lines, self.rest = (self.rest + data).split(b"\r\n")
+        *lines, self.partial_line = (self.partial_line + data).split(b"\r\n")
         for line in lines:
-            self.line(line)
+            self.line_received(line)
 
-    def line(self, line: bytes) -> None:
+    def line_received(self, line: bytes) -> None:
         """Take one line without its end."""
         raise NotImplementedError
 
 
-class Server(Lines):
+class Server(CrlfProtocol):
     """One connection of the relay to a server; `up` once it stands for a client."""
 
     standing: set[Server]  # of all servers of one kind
@@ -59,7 +59,7 @@
 class LineServer(Server):
     """A gate server of the line protocol."""
 
-    def line(self, line: bytes) -> None:
+    def line_received(self, line: bytes) -> None:
         if line == b"PING":
             self.transport.write(b"PONG\r\n")
         elif line.startswith(b"OPEN "):
@@ -79,7 +79,7 @@
         super().connection_made(transport)
         self.transport.write(INFO)
 
-    def line(self, line: bytes) -> None:
+    def line_received(self, line: bytes) -> None:
         if line == b"PING":
             self.transport.write(b"PONG\r\n")
         elif line.startswith(b"SUB "):
@@ -90,19 +90,19 @@
         self.transport.write(b"MSG %b %b %d\r\n%b\r\n" % (SUBJECT, self.sid, len(BODY), BODY))
 
 
-class Client(Lines):
+class Client(CrlfProtocol):
     """A client that stands and counts what it gets."""
 
     numbers = itertools.count(1)
 
     def __init__(self) -> None:
         super().__init__()
-        self.up: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.established: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.messages = 0
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self.up.done():
-            self.up.set_exception(ConnectionError("ended before it was up"))
+        if not self.established.done():
+            self.established.set_exception(ConnectionError("ended before it was up"))
 
 
 class LineClient(Client):
@@ -113,29 +113,29 @@
         number = next(self.numbers)
         self.transport.write(b"OPEN %016x %x c=checkin,t=club,d=5000\r\n" % (number, number))
 
-    def line(self, line: bytes) -> None:
-        if line.startswith(b"UP") and not self.up.done():
-            self.up.set_result(None)
+    def line_received(self, line: bytes) -> None:
+        if line.startswith(b"UP") and not self.established.done():
+            self.established.set_result(None)
         elif line == BODY:
             self.messages += 1
-        elif not self.up.done():
-            self.up.set_exception(ConnectionError(line.decode("ascii", "replace")))
+        elif not self.established.done():
+            self.established.set_exception(ConnectionError(line.decode("ascii", "replace")))
 
 
 class NatsClient(Client):
     """A subscriber."""
 
-    def line(self, line: bytes) -> None:
+    def line_received(self, line: bytes) -> None:
         if line.startswith(b"INFO"):
             self.transport.write(CONNECT)
         elif line == b"PING":
             self.transport.write(b"PONG\r\n")
-        elif line == b"PONG" and not self.up.done():
-            self.up.set_result(None)
+        elif line == b"PONG" and not self.established.done():
+            self.established.set_result(None)
         elif line == BODY:
             self.messages += 1
-        elif line.startswith(b"-ERR") and not self.up.done():
-            self.up.set_exception(ConnectionError(line.decode("ascii", "replace")))
+        elif line.startswith(b"-ERR") and not self.established.done():
+            self.established.set_exception(ConnectionError(line.decode("ascii", "replace")))
 
 
 class LineFront:
@@ -157,31 +157,31 @@
     return server, (str(host), int(port))
 
 
-async def stand(kind: type[Client], address: Address, count: int, at_once: int) -> list[Client]:
+async def connect_clients(kind: type[Client], address: Address, count: int, at_once: int) -> list[Client]:
     """Bring so many clients up, some at a time; who is refused comes again, as clients do.
 
     Raises ConnectionError where one is refused too often, or TimeoutError.
     """
     clients: list[Client] = []
 
-    async def some(share: Iterable[int]) -> None:
+    async def connect_share(share: Iterable[int]) -> None:
         for _ in share:
-            clients.append(await _up(kind, address))
+            clients.append(await _connect_client(kind, address))
 
-    await asyncio.gather(*(some(range(n, count, at_once)) for n in range(at_once)))
+    await asyncio.gather(*(connect_share(range(n, count, at_once)) for n in range(at_once)))
     return clients
 
 
-async def _up(kind: type[Client], address: Address) -> Client:
-    for attempt in range(ATTEMPTS):
+async def _connect_client(kind: type[Client], address: Address) -> Client:
+    for attempt in range(MAX_ATTEMPTS):
         _, client = await asyncio.get_running_loop().create_connection(kind, *address)
         try:
-            async with asyncio.timeout(UP_WITHIN):
-                await client.up
+            async with asyncio.timeout(ESTABLISH_TIMEOUT_SECONDS):
+                await client.established
             return client
         except ConnectionError:
             client.transport.abort()
-            if attempt + 1 == ATTEMPTS:
+            if attempt + 1 == MAX_ATTEMPTS:
                 raise
-            await asyncio.sleep(AGAIN)
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
     raise AssertionError("not reached")
--- a/benchmarks/capacity/processes.py
+++ b/benchmarks/capacity/processes.py
@@ -18,10 +18,10 @@
 Address = tuple[str, int]
 
 CONSOLE_HOST = "127.0.0.1"
-START_WITHIN = 30.0  # s
-END_WITHIN = 10.0  # s after SIGTERM
-CALL_WITHIN = 5.0
-SETTINGS: dict[str, Any] = {
+START_TIMEOUT_SECONDS = 30.0  # s
+STOP_TIMEOUT_SECONDS = 10.0  # s after SIGTERM
+CALL_TIMEOUT_SECONDS = 5.0
+BASE_SETTINGS: dict[str, Any] = {
     "front": "line", "listen": "127.0.0.1:0", "line": {"tenants": ["club"]},
     "classes": [{"name": "checkin", "aim_ms": 300, "deadline_ms": 5_000, "message_aim_ms": 250}],
 }  # fmt: skip
@@ -32,32 +32,32 @@
 
     def __init__(self, folder: Path, settings: dict[str, Any], name: str = "relay-1") -> None:
         self.folder, self.name = folder, name
-        self.settings = SETTINGS | {"name": name} | settings
+        self.settings = BASE_SETTINGS | {"name": name} | settings
         self.address: Address = ("", 0)
         self.console: Address = ("", 0)
 
     async def __aenter__(self) -> Relay:
         path = self.folder / f"{self.name}.json"
         path.write_bytes(orjson.dumps(self.settings))
-        shared = self.folder / f"{self.name}.tmp"
-        shared.mkdir(exist_ok=True)
+        temporary = self.folder / f"{self.name}.tmp"
+        temporary.mkdir(exist_ok=True)
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "violetdoor", "--config", str(path), cwd=ROOT,
-            env=os.environ | {"TMPDIR": str(shared)}, stderr=asyncio.subprocess.PIPE,
+            env=os.environ | {"TMPDIR": str(temporary)}, stderr=asyncio.subprocess.PIPE,
         )  # fmt: skip
         self.listening = asyncio.Event()
-        self.reading = asyncio.create_task(self._read())
-        async with asyncio.timeout(START_WITHIN):
+        self.reader_task = asyncio.create_task(self._read())
+        async with asyncio.timeout(START_TIMEOUT_SECONDS):
             await self.listening.wait()
         if self.address[1] == 0:
-            raise RuntimeError(f"{self.name} did not start: {self.last}")
+            raise RuntimeError(f"{self.name} did not start: {self.last_line}")
         return self
 
     async def _read(self) -> None:
         assert self.process.stderr is not None
-        self.last = ""
+        self.last_line = ""
         while line := (await self.process.stderr.readline()).decode("utf-8", "replace"):
-            self.last = line
+            self.last_line = line
             if found := re.search(r"(console|listening) on ([\d.]+):(\d+)", line):
                 address = found[2], int(found[3])
                 if found[1] == "console":
@@ -73,20 +73,20 @@
         with contextlib.suppress(ProcessLookupError):
             self.process.terminate()
         try:
-            async with asyncio.timeout(END_WITHIN):
+            async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
                 await self.process.wait()
         except TimeoutError:
             self.process.kill()
             await self.process.wait()
-        await self.reading
+        await self.reader_task
 
-    def processor(self) -> float:
+    def processor_seconds(self) -> float:
         """S of processor since its start, to a microsecond or so; all its threads."""
         tasks = Path(f"/proc/{self.process.pid}/task").iterdir()
         spent = sum(int((task / "schedstat").read_text().split()[0]) for task in tasks)
         return spent / 1e9
 
-    def memory(self) -> int:
+    def resident_bytes(self) -> int:
         """Bytes resident."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(status.partition("VmRSS:")[2].split()[0]) * 1024
@@ -94,7 +94,7 @@
 
 async def call_console(address: Address, path: str) -> str:
     """The body of an answer; raises OSError where there is none."""
-    async with asyncio.timeout(CALL_WITHIN):
+    async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
         reader, writer = await asyncio.open_connection(*address)
         writer.write(f"GET {path} HTTP/1.1\r\nHost: capacity\r\n\r\n".encode())
         answer = await reader.read(-1)
--- a/benchmarks/capacity/quiet_net.py
+++ b/benchmarks/capacity/quiet_net.py
@@ -11,17 +11,17 @@
 
 CLONE_NEWUSER, CLONE_NEWNET = 0x10000000, 0x40000000
 SIOCSIFFLAGS, IFF_UP = 0x8914, 0x1
-REQUEST = struct.Struct("16sH14x")
+IFREQ = struct.Struct("16sH14x")
 
 
-def enter() -> None:
+def enter_network_namespace() -> None:
     """Move this process, which must have one thread, into a network of its own. Raises OSError."""
     libc = ctypes.CDLL(None, use_errno=True)
     flags = CLONE_NEWNET if os.geteuid() == 0 else CLONE_NEWNET | CLONE_NEWUSER
     if libc.unshare(flags):
         raise OSError(ctypes.get_errno(), "this system gives no network of one's own")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-        fcntl.ioctl(sock, SIOCSIFFLAGS, REQUEST.pack(b"lo", IFF_UP))
+        fcntl.ioctl(sock, SIOCSIFFLAGS, IFREQ.pack(b"lo", IFF_UP))
 
 
 def bytes_on_loopback() -> int:
--- a/benchmarks/capacity/records.py
+++ b/benchmarks/capacity/records.py
@@ -58,17 +58,17 @@
     series: dict[str, Series] = {}
     figures: dict[str, Figure] = {}
 
-    def keep(self, found: Iterable[Series | Figure], command: str, machine: str) -> None:
+    def add(self, found: Iterable[Series | Figure], command: str, machine: str) -> None:
         """Take in what a part has measured, with where it comes from, unless the part says so itself."""
         revision = current_revision()
         for one in found:
-            signed = msgspec.structs.replace(
+            attributed = msgspec.structs.replace(
                 one, command=one.command or command, revision=one.revision or revision, measured_on=machine
             )
-            if isinstance(signed, Series):
-                self.series[signed.name] = signed
+            if isinstance(attributed, Series):
+                self.series[attributed.name] = attributed
             else:
-                self.figures[signed.name] = signed
+                self.figures[attributed.name] = attributed
 
 
 def load(path: Path = STORE) -> Store:
--- a/benchmarks/capacity/role.py
+++ b/benchmarks/capacity/role.py
@@ -8,11 +8,13 @@
 from benchmarks.capacity import demand as d
 from benchmarks.capacity.needs import Kind, Need
 
-SERVERS_SEEN = 1_500  # that one relay sees: an assumption; the row of the most it may see stands beside it
-CORE_US = 1e6
-CHANGE_RATE = d.CHANGES_A_DAY / d.DAY
-RESTART_RATE = (d.RESTARTS_A_DAY + d.FAILURES_A_DAY) / d.DAY
-RELEASE_RATE = d.RELAYS / (d.RELEASE_HOURS * 3600)
+SERVERS_PER_RELAY = (
+    1_500  # that one relay sees: an assumption; the row of the most it may see stands beside it
+)
+US_PER_CORE_SECOND = 1e6
+CHANGES_PER_SECOND = d.CHANGES_PER_DAY / d.SECONDS_PER_DAY
+RESTARTS_PER_SECOND = (d.RESTARTS_PER_DAY + d.FAILURES_PER_DAY) / d.SECONDS_PER_DAY
+RELEASE_RESTARTS_PER_SECOND = d.RELAYS / (d.RELEASE_DURATION_HOURS * 3600)
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,7 +27,7 @@
     budget: float | None = None
 
     @property
-    def over(self) -> float | None:
+    def budget_ratio(self) -> float | None:
         """Need over budget."""
         return None if self.budget is None else self.need.value / self.budget
 
@@ -47,11 +49,13 @@
     @property
     def worst(self) -> Row | None:
         """The row that is furthest over its budget."""
-        held = [row for row in self.rows if row.over is not None and row.need.kind is not Kind.MISSING]
-        return max(held, key=lambda row: row.over or 0.0, default=None)
+        budgeted_rows = [
+            row for row in self.rows if row.budget_ratio is not None and row.need.kind is not Kind.MISSING
+        ]
+        return max(budgeted_rows, key=lambda row: row.budget_ratio or 0.0, default=None)
 
 
-def size(value: float, what: str) -> str:
+def describe_limit(value: float, what: str) -> str:
     """Where something breaks, in words."""
     if math.isinf(value):
         return f"no measured size spends {what}, and no slope that counts says which does"
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -8,9 +8,9 @@
 from benchmarks.capacity.role import Role
 
 ROLES = (
-    data.connections, data.deliveries, data.decisions, control.listing, control.view, control.beyond_one_view,
-    control.shared_map, control.owners, control.cold, control.console, control.control_machine, control.discovery,
-    control.topics, control.together,
+    data.connections, data.deliveries, data.decisions, control.server_list_watch, control.view, control.multi_view_membership,
+    control.shared_map, control.owner_lookups, control.cold_server_shares, control.console, control.control_machine, control.discovery,
+    control.topic_directory, control.all_control,
 )  # fmt: skip
 
 
--- a/benchmarks/capacity/scale_figures.py
+++ b/benchmarks/capacity/scale_figures.py
@@ -32,7 +32,7 @@
     "MiB": ("MiB", 1.0),
     "s": ("s", 1.0),
 }
-VALUE = re.compile(r"(-?[\d.,]+) ?(KB/s|%|MiB|s)")
+VALUE_PATTERN = re.compile(r"(-?[\d.,]+) ?(KB/s|%|MiB|s)")
 
 
 class PageFormatError(ValueError):
@@ -54,7 +54,7 @@
 
 def _figure(cells: list[str]) -> Figure:
     title, _, _, measured, samples = cells[:5]
-    match = VALUE.fullmatch(measured)
+    match = VALUE_PATTERN.fullmatch(measured)
     if match is None:
         raise PageFormatError(f"{title}: found {measured!r}")
     unit, factor = UNITS[match[2]]
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -31,7 +31,7 @@
     found = judge(series(lambda n: 30.0 + 2.0 * GROWTH[form](n)))
     assert found.fit.form is form
     assert found.counts
-    assert abs(found.error) < 1e-6
+    assert abs(found.prediction_error) < 1e-6
     assert found.fit.residual < 1e-6
     assert found.fit.at(5600) == pytest.approx(30.0 + 2.0 * GROWTH[form](5600))
 
@@ -54,7 +54,7 @@
 def test_a_wrong_form_does_not_predict_the_largest(truth: Form, wrong: Form) -> None:
     found = judge(series(GROWTH[truth]), wrong)
     assert not found.counts
-    assert found.error < -0.2
+    assert found.prediction_error < -0.2
 
 
 def test_a_cost_that_turns_steep_at_the_largest_size_does_not_count() -> None:
@@ -80,7 +80,7 @@
     store, text = load(), page.PAGE.read_text()
     assert store.series
     assert store.figures
-    assert page.renewed(text, store) == text
+    assert page.with_current_blocks(text, store) == text
 
 
 def test_a_changed_figure_changes_the_page() -> None:
@@ -88,13 +88,13 @@
     name = next(iter(store.series))
     points = [structs.replace(p, value=p.value * 3, high=p.high * 3) for p in store.series[name].points]
     store.series[name] = structs.replace(store.series[name], points=points)
-    assert page.renewed(page.PAGE.read_text(), store) != page.PAGE.read_text()
+    assert page.with_current_blocks(page.PAGE.read_text(), store) != page.PAGE.read_text()
 
 
 def test_a_page_without_one_of_its_blocks_is_refused() -> None:
     text = page.PAGE.read_text().replace("<!-- generated: summary -->\n", "")
     with pytest.raises(page.PageError):
-        page.renewed(text, load())
+        page.with_current_blocks(text, load())
 
 
 def test_a_slope_that_does_not_count_is_not_carried_to_full_size() -> None:
@@ -108,7 +108,7 @@
     within = Measured(Store({"steep": steep})).at("steep", 300)
     assert within.kind is Kind.MEASURED
     assert within.value == 310.0
-    assert Measured(Store({"steep": steep})).breaks_at("steep", 260.0) == 250.0
+    assert Measured(Store({"steep": steep})).size_at_budget("steep", 260.0) == 250.0
 
 
 def test_the_large_fleets_page_is_read_whole_or_refused() -> None:
