--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,5 +1,5 @@
-"""What each role of a relay costs as its fleet grows, and what that is at the size to design for.
+"""Measure how the cost of each role of a relay grows with the fleet, and extrapolate it to the design size.
 
-`python -m benchmarks.capacity [--quick] [--only PART] [--write]`. The parts measure series of points,
-`fits` turns a series into a slope, `roles` reckons needs at full size, `page` writes `docs/CAPACITY.md`.
+`python -m benchmarks.capacity [--quick] [--only PART] [--write]`. The parts measure series of points, `fits` fits a
+growth curve to a series, `roles` calculates the needs at the design size, `page` writes `docs/CAPACITY.md`.
 """
