--- a/benchmarks/capacity/connections.py
+++ b/benchmarks/capacity/connections.py
@@ -1,4 +1,4 @@
-"""What a relay's standing connections cost: the real program, with clients and servers played beside it."""
+"""Cost of a relay's established connections: the real program, with simulated clients and servers."""
 
 from __future__ import annotations
 
@@ -16,45 +16,44 @@
 from benchmarks.capacity.processes import Relay
 from benchmarks.capacity.records import Figure, Series, point
 
-# The largest take over half a core: beyond it queues would be measured.
+# Connections by front. The largest sizes use over half a core; beyond that, queueing would distort the result.
 SIZES = {"line": (250, 500, 1_000, 2_000, 4_000), "nats": (75, 150, 300, 600, 1_200)}
 QUICK_SIZES = 25, 50, 100, 200
 SERVERS = 4
-CONCURRENT_OPENINGS = 64  # clients that open at a time
-SETTLE_SECONDS, REST_SECONDS = 1.0, 4.0  # s after the last client is up; that are looked at
-DELIVERY_SECONDS, SLICES_PER_SECOND = (
-    3.0,
-    20,
-)  # s; parts of a second in which the deliveries of that second go out
-DELIVERIES_PER_CONNECTION_SECOND = 1.0  # deliveries a connection and s
-RELAY_DESCRIPTORS = 20_000  # of a relay; each client takes two
-SPARE_DESCRIPTORS = 512  # descriptors of this process besides the two a client
+CONCURRENT_OPENINGS = 64  # clients that connect at the same time
+# Wait after the last client is established; duration of the measurement at rest.
+SETTLE_SECONDS, REST_SECONDS = 1.0, 4.0
+# Duration of the measurement of deliveries; the slices over which the deliveries of a second are spread.
+DELIVERY_SECONDS, SLICES_PER_SECOND = 3.0, 20
+DELIVERIES_PER_CONNECTION_SECOND = 1.0
+RELAY_DESCRIPTORS = 20_000  # file descriptors of a relay; each client uses two
+SPARE_DESCRIPTORS = 512  # file descriptors of this process beyond two per client
 FRONTS: tuple[type[peers.LineFront] | type[peers.NatsFront], ...] = (peers.LineFront, peers.NatsFront)
 
 
 @dataclass(slots=True, frozen=True)
 class Cost:
-    """One run at one size."""
+    """Costs of one run with one number of connections."""
 
-    opened: float  # connections a s, by the wall clock
-    opening: float  # us of processor a connection
-    resting: float  # us of processor a s, all connections
-    memory: float  # bytes of the process beyond those that it has without a client
-    delivering: float  # us of processor a delivery, beyond rest
-    delivered: float  # part of the deliveries that arrived
+    opened: float  # connections established per second of wall-clock time
+    opening: float  # us of processor time per connection
+    resting: float  # us of processor time per second, all connections together
+    memory: float  # resident bytes of the process beyond those without a client
+    delivering: float  # us of processor time per delivery, without the cost at rest
+    delivered: float  # fraction of the deliveries that arrived
 
 
 def settings(front: str, servers: list[peers.Address]) -> dict[str, Any]:
-    """An operator's file for one front, with its defaults."""
+    """Return the configuration of a relay with one front at its defaults."""
     rows = [{"id": f"server-{n}", "addr": f"{host}:{port}"} for n, (host, port) in enumerate(servers)]
-    own: dict[str, Any] = {"front": front, "servers": rows, "sockets": RELAY_DESCRIPTORS}
+    config: dict[str, Any] = {"front": front, "servers": rows, "sockets": RELAY_DESCRIPTORS}
     if front == "nats":
-        own["tenants"] = [{"name": "club", "class": "checkin", "users": ["*"]}]
-    return own
+        config["tenants"] = [{"name": "club", "class": "checkin", "users": ["*"]}]
+    return config
 
 
 async def measure_one(front: type[peers.LineFront] | type[peers.NatsFront], count: int) -> Cost:
-    """Open, rest, deliver."""
+    """Start a relay and measure it while connections open, rest and receive deliveries."""
     standing: set[peers.Server] = set()
     servers = [await peers.serve(front.server, standing) for _ in range(SERVERS)]
     with tempfile.TemporaryDirectory() as folder:
@@ -88,7 +87,7 @@
 
 
 async def _deliver(standing: set[peers.Server]) -> int:
-    """Send every connection its messages, spread over each second; how many that were."""
+    """Send every connection its messages, spread over each second, and return the number sent."""
     loop, began, sent = asyncio.get_running_loop(), asyncio.get_running_loop().time(), 0
     connections = list(standing)
     for turn in range(int(DELIVERY_SECONDS * SLICES_PER_SECOND)):
@@ -113,7 +112,7 @@
 
 
 def measure(quick: bool) -> list[Series | Figure]:
-    """Both fronts by standing connections."""
+    """Return the costs of both fronts by number of established connections."""
     largest = max(max(sizes) for sizes in SIZES.values())
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     target_limit = min(hard_limit, 2 * largest + SPARE_DESCRIPTORS)
