--- a/benchmarks/capacity/fits.py
+++ b/benchmarks/capacity/fits.py
@@ -1,6 +1,6 @@
-"""Slopes: how a cost grows with a size, and whether that may be believed beyond the largest measured.
+"""Fit the growth of a cost with a size, and check whether it may be extrapolated beyond the largest measured size.
 
-A slope counts only if, fitted without the largest size, it predicts the largest within `WITHIN`.
+A slope counts only if the fit without the largest size predicts the largest within `MAX_PREDICTION_ERROR`.
 """
 
 from __future__ import annotations
@@ -12,17 +12,13 @@
 
 from benchmarks.capacity.records import Point
 
-MAX_PREDICTION_ERROR = (
-    0.2  # part of the measured value by which the prediction of the largest size may be off
-)
-MIN_SIZES = 4  # of a series: three to fit and one to predict
-MIN_RESIDUAL_GAIN = (
-    0.01  # part by which a steeper form has to fit better than a flatter one before it is taken
-)
+MAX_PREDICTION_ERROR = 0.2  # of the prediction for the largest size, relative to the measured value
+MIN_SIZES = 4  # sizes of a series: three to fit and one to predict
+MIN_RESIDUAL_GAIN = 0.01  # a steeper form is chosen only if its residual is smaller by more than this
 
 
 class Form(Enum):
-    """How a cost may grow, flattest first; the values are as the page writes them."""
+    """Forms of growth, flattest first; the page prints the values."""
 
     CONSTANT = "constant"
     LOG = "log n"
@@ -41,24 +37,24 @@
 
 
 class FitError(ValueError):
-    """A series that no slope can be made of."""
+    """No slope can be fitted to the series."""
 
 
 @dataclass(slots=True, frozen=True)
 class Fit:
-    """`base + slope * growth(size)`; neither is below zero, as costs are not."""
+    """The curve `base + slope * growth(size)`; neither coefficient is negative because costs are not."""
 
     form: Form
     base: float
     slope: float
-    residual: float  # root of the mean squared relative error over the fitted points
+    residual: float  # root mean square of the relative errors at the fitted points
 
     def at(self, size: float) -> float:
-        """The cost at a size."""
+        """Return the cost at a size."""
         return self.base + self.slope * GROWTH[self.form](size)
 
     def size_at(self, cost: float) -> float:
-        """The size at which the cost reaches a budget; infinite where it never does."""
+        """Return the size at which the cost reaches a budget, or infinity if it never does."""
         if self.at(1.0) >= cost:
             return 1.0
         if self.slope == 0.0:
@@ -73,7 +69,7 @@
 
 
 def fit(points: Sequence[Point], form: Form) -> Fit:
-    """The least squared relative errors for one form."""
+    """Fit one form by least squares of the relative errors. Raises FitError."""
     if not points or any(point.value <= 0 for point in points):
         raise FitError("a fit takes points above zero")
     growths = [GROWTH[form](point.size) for point in points]
@@ -83,7 +79,7 @@
 
 
 def _weighted_least_squares(values: list[float], growths: list[float]) -> tuple[float, float]:
-    """Base and slope by weighted least squares; each error counts by its part of the value."""
+    """Return base and slope by weighted least squares; errors are relative to the value."""
     weights = [1.0 / (v * v) for v in values]
     total = sum(weights)
     mean_growth = sum(w * g for w, g in zip(weights, growths, strict=True)) / total
@@ -103,32 +99,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """A series' slope, and how it did where it had not seen the largest size."""
+    """The slope of a series, and its prediction of the largest size when fitted without it."""
 
-    fit: Fit  # over all sizes
-    predicted: float  # for the largest size by the fit without it
-    measured: float
-    accepted_fits: tuple[
-        Fit, ...
-    ]  # over all sizes, of every form that predicted the largest within the limit
+    fit: Fit  # fitted to all sizes
+    predicted: float  # cost of the largest size by the fit without it
+    measured: float  # cost of the largest size
+    accepted_fits: tuple[Fit, ...]  # all sizes; each form that predicted the largest within the limit
 
     @property
     def prediction_error(self) -> float:
-        """Of the prediction, as a part of what was measured."""
+        """Error of the prediction, relative to the measured value."""
         return self.predicted / self.measured - 1
 
     @property
     def counts(self) -> bool:
+        """Whether the slope is accurate enough to be extrapolated."""
         return abs(self.prediction_error) <= MAX_PREDICTION_ERROR
 
     def range_at(self, size: float) -> tuple[float, float]:
-        """Least and most that any form says that also predicted the largest size."""
+        """Return the lowest and highest cost by the chosen fit and all accepted ones."""
         found = [one.at(size) for one in (self.fit, *self.accepted_fits)]
         return min(found), max(found)
 
 
 def judge(points: Sequence[Point], form: Form | None = None) -> Verdict:
-    """Choose a form by the sizes without the largest, unless it is given, and hold it against the largest."""
+    """Choose a form by the sizes below the largest, unless given, and check its prediction of the largest."""
     ordered = sorted(points, key=lambda point: point.size)
     if len({point.size for point in ordered}) < MIN_SIZES:
         raise FitError(f"a slope takes {MIN_SIZES} sizes or more")
