--- a/benchmarks/capacity/fleet_slopes.py
+++ b/benchmarks/capacity/fleet_slopes.py
@@ -1,4 +1,4 @@
-"""What a member of the fleet's view costs by the size of the view: virtual time, all packets encoded."""
+"""Cost of a member of the fleet's view by the view's size, in virtual time with all packets encoded."""
 
 from __future__ import annotations
 
@@ -13,72 +13,82 @@
 from benchmarks.capacity import hosts
 from benchmarks.capacity.records import Figure, Point, Series, point
 
-SEEDS_BY_SIZE = {25: 8, 50: 6, 100: 4, 200: 3, 400: 2, 800: 1}  # seeds by size: larger ones cost more
+SEEDS_BY_SIZE = {
+    25: 8,
+    50: 6,
+    100: 4,
+    200: 3,
+    400: 2,
+    800: 1,
+}  # number of seeds; fewer for large fleets, which take longer
 QUICK_SEEDS_BY_SIZE = {10: 2, 20: 2, 40: 2, 80: 2}
 MEMORY_SIZES, QUICK_MEMORY_SIZES = (25, 50, 100, 200, 400), (10, 20, 40, 80)
-SMALL_FLEET_MEMBERS = 200  # members up to which a fleet is looked at for longer, as chance weighs more there
-REST_SECONDS, SMALL_FLEET_REST_SECONDS = 10.0, 30.0  # virtual s that are looked at, at rest
-EVENT_SECONDS = 8.0  # and from one restart or death on
-WORKER_PROCESSES = 4  # processes at a time: others use the machine too
-FOUNDED_MEMBERS = 100  # members of the fleet that is founded as real ones are, to compare
+SMALL_FLEET_MEMBERS = 200  # up to this size a fleet is measured for longer, as its results vary more
+REST_SECONDS, SMALL_FLEET_REST_SECONDS = 10.0, 30.0  # duration of the measurement at rest, in virtual time
+EVENT_SECONDS = 8.0  # duration of the measurement after a restart or death, in virtual time
+WORKER_PROCESSES = 4  # leaves cores for the other users of the machine
+FOUNDED_MEMBERS = 100  # size of the fleet that goes through founding, for comparison
 
 
 @dataclass(slots=True, frozen=True)
 class Cost:
-    """One fleet of one size with one seed; bytes are out and in together, with headers."""
+    """Costs in one fleet with one seed; bytes are sent and received together, with headers."""
 
     size: int
-    rest_datagrams: float  # bytes a member and s
-    rest_calls: float
-    rest_packets: float  # datagrams out and in, a member and s
-    rest_processor: float  # us a member and s
-    longest_datagram: float  # bytes of a datagram, over all that was played
-    restart_bytes: float  # a member, beyond rest
-    restart_processor: float  # ms a member, beyond rest
-    death_bytes: float
-    death_processor: float
+    rest_datagrams: float  # bytes per member and second
+    rest_calls: float  # bytes per member and second
+    rest_packets: float  # datagrams sent and received, per member and second
+    rest_processor: float  # us of processor time per member and second
+    longest_datagram: float  # bytes of the longest datagram in the whole run
+    restart_bytes: float  # per member, in excess of rest
+    restart_processor: float  # ms per member, in excess of rest
+    death_bytes: float  # per member, in excess of rest
+    death_processor: float  # ms per member, in excess of rest
 
 
 @dataclass(slots=True, frozen=True)
 class Usage:
-    """Of all members in one stretch of time."""
+    """Resources that all members together used in a period."""
 
     datagrams: float  # bytes
     calls: float  # bytes
     packets: int
-    processor: float  # s
+    processor: float  # s of processor time
 
 
 def measure_usage(world: hosts.CountingWorld, seconds: float) -> Usage:
-    """Let time pass; what all members spent in it."""
+    """Advance virtual time and return what all members used meanwhile."""
     before = sum(world.bytes.values()), world.datagram_bytes_in, world.call_bytes, world.datagrams_out
     processor = hosts.run_measured(world, seconds)
     out, received = sum(world.bytes.values()) - before[0], world.datagram_bytes_in - before[1]
-    calls = 2 * (world.call_bytes - before[2])  # what one end sends the other receives
+    calls = 2 * (world.call_bytes - before[2])  # every byte is sent by one member and received by another
     return Usage(out + received, calls, 2 * (world.datagrams_out - before[3]), processor)
 
 
 def measure_extra_usage(
     world: hosts.CountingWorld, size: int, rest: Usage, rest_fraction: float
 ) -> tuple[float, float]:
-    """Bytes and ms of processor a member, beyond that part of the rest, of what has just been done."""
+    """Return bytes and ms of processor time per member in the `EVENT_SECONDS` from now, in excess of rest.
+
+    `rest_fraction` is `EVENT_SECONDS` relative to the duration of the measurement at rest.
+    """
     spent = measure_usage(world, EVENT_SECONDS)
     volume = spent.datagrams + spent.calls - rest_fraction * (rest.datagrams + rest.calls)
     return max(0.0, volume) / size, max(0.0, spent.processor - rest_fraction * rest.processor) / size * 1e3
 
 
 def measure_one(job: tuple[int, int]) -> Cost:
-    """Rest, one death and one restart."""
+    """Measure a fleet of (size, seed) at rest, after one death and after one restart."""
     size, seed = job
-    gc.disable()  # a collection would go through all members' objects, where a relay has its own only
+    gc.disable()  # a collection would visit all members' objects, but a relay has only its own
     world = hosts.settled_fleet(size, seed)
     rest_seconds = SMALL_FLEET_REST_SECONDS if size <= SMALL_FLEET_MEMBERS else REST_SECONDS
     rest = measure_usage(world, rest_seconds)
-    everybody = hosts.member_names(size)
-    world.kill(everybody[size // 2])
+    members = hosts.member_names(size)
+    world.kill(members[size // 2])
     death = measure_extra_usage(world, size, rest, EVENT_SECONDS / rest_seconds)
-    world.kill(everybody[size // 3])
-    world.start(everybody[size // 3], everybody[:5], everybody[:3])
+    world.kill(members[size // 3])
+    world.start(members[size // 3], members[:5], members[:3])
     restart = measure_extra_usage(world, size, rest, EVENT_SECONDS / rest_seconds)
     member_seconds = size * rest_seconds
     return Cost(
@@ -102,7 +112,10 @@
 
 
 def measure_memory(size: int) -> float:
-    """Bytes of Python's objects a member, the virtual world's few in it; each has its own copy of the view."""
+    """Return bytes of Python objects per member, with the small share of the virtual world.
+
+    Every member has its own copy of the view.
+    """
     tracemalloc.start()
     world = hosts.settled_fleet(size)
     held, _ = tracemalloc.get_traced_memory()
@@ -111,10 +124,10 @@
 
 
 def measure(quick: bool) -> list[Series | Figure]:
-    """All series by members."""
+    """Return all series by number of members."""
     runs = QUICK_SEEDS_BY_SIZE if quick else SEEDS_BY_SIZE
     jobs = [(size, seed) for size in sorted(runs, reverse=True) for seed in range(1, runs[size] + 1)]
-    context = multiprocessing.get_context("spawn")  # memory of a fresh process
+    context = multiprocessing.get_context("spawn")  # so that memory is measured in a fresh process
     with ProcessPoolExecutor(WORKER_PROCESSES, mp_context=context, max_tasks_per_child=1) as pool:
         founded = None if quick else pool.submit(fleet_view.traffic, FOUNDED_MEMBERS)
         sizes = QUICK_MEMORY_SIZES if quick else MEMORY_SIZES
@@ -128,8 +141,8 @@
     found.append(Series("view_memory", "a member's state", "members", "B", held))
     if founded is not None:
         out = founded.result()[1]
-        here = next(c for c in costs if c.size == FOUNDED_MEMBERS).rest_datagrams / 2
-        ratio = out / here
+        taken_up = next(c for c in costs if c.size == FOUNDED_MEMBERS).rest_datagrams / 2
+        ratio = out / taken_up
         title = f"datagram bytes of {FOUNDED_MEMBERS} members that founded their fleet over those that took a view up"
         found.append(Figure("view_founded_ratio", title, "", ratio, ratio, ratio))
     return found
