--- a/benchmarks/capacity/moment_slopes.py
+++ b/benchmarks/capacity/moment_slopes.py
@@ -1,4 +1,4 @@
-"""What a rack, a zone and a region that go away cost each member of the fleet's view: virtual time."""
+"""Cost of losing a rack, a zone or a region for each member of the fleet's view, in virtual time."""
 
 from __future__ import annotations
 
@@ -16,19 +16,21 @@
 )
 from benchmarks.capacity.records import Figure, Series, point
 
+# Number of seeds for each size.
 SEEDS_BY_SIZE = {50: 3, 100: 3, 200: 2, 400: 1}
 QUICK_SEEDS_BY_SIZE = {24: 1, 30: 1, 40: 1, 50: 1}
-REST_SECONDS = 10.0  # virtual s
+REST_SECONDS = 10.0  # duration of the measurement at rest, in virtual time
+# Fraction of the fleet that is lost with each.
 LOST_FLEET_SHARE = {
     "rack": demand.MACHINES_PER_RACK / demand.RELAYS,
     "zone": 1 / demand.ZONES,
     "region": 1 / demand.REGIONS,
-}  # of the fleet that each takes along
+}
 
 
 @dataclass(slots=True, frozen=True)
 class Cost:
-    """Bytes a member that is left, beyond rest, in the `EVENT` s from the moment on."""
+    """Bytes per remaining member, in excess of rest, in the `EVENT_SECONDS` after each event."""
 
     size: int
     rack: float
@@ -38,9 +40,9 @@
 
 
 def measure_one(job: tuple[int, int]) -> Cost:
-    """A region is cut off and healed, then a rack dies, then a zone."""
+    """Measure a fleet of (size, seed): a region is cut off and healed, then a rack dies, then a zone."""
     size, seed = job
-    gc.disable()
+    gc.disable()  # a collection would visit all members' objects, but a relay has only its own
     world = hosts.settled_fleet(size, seed)
     rest = measure_usage(world, REST_SECONDS)
     members = hosts.member_names(size)
@@ -72,7 +74,7 @@
 
 
 def measure(quick: bool) -> list[Series | Figure]:
-    """All moments by members."""
+    """Return the cost of each event by number of members."""
     runs = QUICK_SEEDS_BY_SIZE if quick else SEEDS_BY_SIZE
     jobs = [(size, seed) for size in sorted(runs, reverse=True) for seed in range(1, runs[size] + 1)]
     context = multiprocessing.get_context("spawn")
