--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -1,7 +1,7 @@
-"""Hollow relays against real processes: bytes, processor and memory of the fleet's view.
+"""Compare hollow relays with real processes: bytes, processor time and memory of the fleet's view.
 
-A hollow relay is the real decision code with its sockets, many in one process, without clients. All runs in a
-network of its own, where each byte with its headers is counted.
+A hollow relay is the fleet code of a relay with real sockets but without clients; many run in one process. The
+measurement runs in a network namespace of its own, where every byte is counted with its headers.
 """
 
 from __future__ import annotations
@@ -31,23 +31,24 @@
 
 RELAY_COUNT, QUICK_RELAY_COUNT = 20, 5
 ROUNDS, QUICK_ROUNDS = 2, 1
-SETTLE_SECONDS, REST_SECONDS, QUICK_REST_SECONDS = 3.0, 15.0, 5.0  # s
-FOUNDING_TIMEOUT_SECONDS = 40.0  # s until all stand at one view and hold a lease
+# Wait after the fleet is founded; duration of the measurement at rest.
+SETTLE_SECONDS, REST_SECONDS, QUICK_REST_SECONDS = 3.0, 15.0, 5.0
+FOUNDING_TIMEOUT_SECONDS = 40.0  # until all members have one view and hold a lease
 PORT, CLIENT_PORT, CONSOLE_PORT = 7946, 8081, 8500
 KEY = b"k" * 32
 FOUNDERS = 3
 
 
 class Cost(Struct):
-    """A member at rest: bytes/s out and in together, part of a core, bytes of memory."""
+    """Cost of a member at rest."""
 
-    volume: float
-    processor: float
-    memory: float
+    volume: float  # bytes per second, sent and received together
+    processor: float  # fraction of a core
+    memory: float  # bytes
 
 
 class Round(Struct):
-    """The same number of members in four ways; `bare` are processes without a fleet."""
+    """Costs of the same number of members run in four ways; `bare` are processes without a fleet."""
 
     hollow: Cost
     real: Cost
@@ -69,12 +70,12 @@
     deadline = time.monotonic() + FOUNDING_TIMEOUT_SECONDS
     while not await condition():
         if time.monotonic() > deadline:
-            raise RuntimeError(f"{what} do not settle on one view")
+            raise RuntimeError(f"{what} did not agree on one view in which all hold a lease in time")
         await asyncio.sleep(0.2)
 
 
 async def _measure_at_rest(seconds: float, count: int, processor: Callable[[], float]) -> tuple[float, float]:
-    """Bytes a member and s, out and in together, and part of a core a member."""
+    """Return bytes per member and second, sent and received together, and the fraction of a core per member."""
     await asyncio.sleep(SETTLE_SECONDS)
     volume, spent, began = quiet_net.bytes_on_loopback(), processor(), time.monotonic()
     await asyncio.sleep(seconds)
@@ -84,7 +85,7 @@
 
 
 async def hollow(count: int, seconds: float) -> Cost:
-    """So many members in this process."""
+    """Measure `count` hollow members in this process."""
     before = rss_kib()
     fleets = [FleetEndpoint(_node_config(n, count), (_host(n), PORT), KEY) for n in range(count)]
     for fleet in fleets:
@@ -103,10 +104,10 @@
 
 
 def _settings(number: int, count: int, with_fleet: bool) -> dict[str, Any]:
-    plan, host = _node_config(number, count), _host(number)
+    config, host = _node_config(number, count), _host(number)
     fleet = {
-        "listen": f"{host}:{PORT}", "key": "fleet.key", "founders": sorted(plan.founders),
-        "seeds": [f"{at}:{port}" for at, port in plan.seeds], "wait": 0.1,
+        "listen": f"{host}:{PORT}", "key": "fleet.key", "founders": sorted(config.founders),
+        "seeds": [f"{at}:{port}" for at, port in config.seeds], "wait": 0.1,
     }  # fmt: skip
     return {
         "listen": f"{host}:{CLIENT_PORT}", "console": f"{host}:{CONSOLE_PORT}",
@@ -115,7 +116,7 @@
 
 
 async def real(count: int, seconds: float, with_fleet: bool) -> Cost:
-    """So many processes of the program."""
+    """Measure `count` processes of the program."""
     async with contextlib.AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         (folder / "fleet.key").write_bytes(KEY)
@@ -137,7 +138,7 @@
 
 
 def virtual(count: int) -> Cost:
-    """So many members in virtual time, as the slopes have them."""
+    """Measure `count` members in virtual time, as the slopes do."""
     world, seconds = hosts.settled_fleet(count), 60.0
     before = sum(world.bytes.values()) + world.datagram_bytes_in + 2 * world.call_bytes
     spent = hosts.run_measured(world, seconds)
@@ -153,7 +154,7 @@
 
 
 def main() -> int:
-    """One round, in a network of its own; the result as JSON."""
+    """Measure one round in a network namespace of its own and print the result as JSON."""
     quiet_net.enter_network_namespace()
     quick = sys.argv[1:] == ["--quick"]
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -172,7 +173,7 @@
 
 
 def measure(quick: bool) -> list[Series | Figure]:
-    """Ratios and their parts, from some rounds of a process each."""
+    """Return costs and their ratios from several rounds, each run in a process of its own."""
     command = [sys.executable, "-m", "benchmarks.capacity.hollow", *(["--quick"] if quick else [])]
     rounds: list[Round] = []
     for _ in range(QUICK_ROUNDS if quick else ROUNDS):
