--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -1,8 +1,8 @@
-"""Fleets in virtual time that stand at one view from the start, with all bytes counted.
+"""Fleets in virtual time whose members share one view from the start, with all bytes counted.
 
-The only place that uses names of `violetdoor.fleet` and `violetdoor.faults.virtual` for the slopes. Founding a
-large fleet takes minutes of processor time, so members take up a state that a process hands over in an
-upgrade, and settle within seconds.
+Founding a large fleet takes minutes of processor time, so members import the state that a process hands over in an
+upgrade, and settle within seconds. Among the measurements of slopes, only this module uses the internals of
+`violetdoor.fleet` and `violetdoor.faults.virtual`.
 """
 
 from __future__ import annotations
@@ -21,31 +21,31 @@
 
 PORT = 7946
 ZONES = 24
-SETTLE_TIMEOUT_SECONDS = 30.0  # virtual s
+SETTLE_TIMEOUT_SECONDS = 30.0  # in virtual time
 
-# Of one call over TCP, both directions: SYN, SYN-ACK and ACK, four parts of data and their acknowledgements, FIN
-# and ACK of each side, 52 bytes of IPv4 and TCP with timestamps each and 8 more in the two SYNs; two random
-# numbers of 16 bytes, two lengths of 4 and two seals. Reckoned; the part `hollow` holds it against real ones.
+# One call over TCP, both directions: SYN, SYN-ACK and ACK; four data segments and their acknowledgements; FIN and
+# ACK of each side. Each segment has 52 bytes of IPv4 and TCP headers with timestamps, the two SYNs 8 more. The
+# data holds two nonces of 16 bytes, two lengths of 4 and two tags. The part `hollow` checks this against real calls.
 SEGMENTS_PER_CALL = 3 + 8 + 4
 SEGMENT_HEADER_BYTES = 52
-SEGMENT_BODY_BYTES = 1448  # bytes of data in one Ethernet frame
+SEGMENT_BODY_BYTES = 1448  # data in one Ethernet frame
 FIXED_CALL_BYTES = SEGMENTS_PER_CALL * SEGMENT_HEADER_BYTES + 2 * 8 + 2 * 16 + 2 * 4 + 2 * TAG_BYTES
 
 
 def data_bytes_on_wire(body: int) -> int:
-    """Bytes on the wire of the data of one direction beyond a call's fixed part."""
+    """Return the bytes on the wire for `body` bytes of data in one direction, without the call's fixed part."""
     return body + (body // SEGMENT_BODY_BYTES) * (SEGMENT_HEADER_BYTES + SEGMENT_HEADER_BYTES // 2)
 
 
 class CountingWorld(World):
-    """Counts what the base does not: calls, by bytes and number, out and in, and datagrams that come in."""
+    """A virtual world that also counts calls, their bytes in both directions, and received datagrams."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed, encode=True)
         self.datagrams_out = 0
         self.datagram_bytes_in = 0
         self.calls = 0
-        self.call_bytes = 0  # out and in together, of both ends once
+        self.call_bytes = 0  # both directions together; each byte is counted once, not at both ends
         self.call_bytes_by_message: Counter[str] = Counter()
 
     def _send(self, host: Host, address: Address, packet: m.Packet) -> None:
@@ -74,18 +74,18 @@
 
 
 def member_names(count: int) -> list[str]:
-    """Members of a virtual fleet, in the order of their view."""
+    """Return the names of a virtual fleet's members, in the order of their view."""
     return [f"relay-{n:05d}" for n in range(count)]
 
 
 def settled_fleet(size: int, seed: int = 1) -> CountingWorld:
-    """A fleet of so many members that all hold a lease. Raises RuntimeError where they don't get one."""
-    world, everybody = CountingWorld(seed), member_names(size)
-    places = [(name, world.host(name).address) for name in everybody]
-    peers = [_peer(name, address, n) for n, (name, address) in enumerate(places)]
+    """Return a fleet of `size` members that all hold a lease. Raises RuntimeError if they don't get one in time."""
+    world, members = CountingWorld(seed), member_names(size)
+    addresses = [(name, world.host(name).address) for name in members]
+    peers = [_peer(name, address, n) for n, (name, address) in enumerate(addresses)]
     view = View(1 << 16, 2, sorted_by_name(peers))
-    founders = frozenset(everybody[:5])
-    seeds = tuple(address for _, address in places[:3])
+    founders = frozenset(members[:5])
+    seeds = tuple(address for _, address in addresses[:3])
     for peer in peers:
         host = world.host(peer.name)
         host.life += 1
@@ -93,15 +93,15 @@
         node = Node(config, Random(world.random.getrandbits(64)), world.clock(host), lambda: UNIX)
         handover = handover_state_decoder.decode(
             m.encode(_handover(peer, view, world.clock(host)))
-        )  # an own copy of the view
+        )  # decoded so that each member has its own copy of the view
         node.import_state(handover, world.clock(host))
         host.node = node
         world.carry_out_actions(host)
         world._push(world.now + world.random.random() * 0.25, world._wake, host, host.life)
     if not world.run(
-        SETTLE_TIMEOUT_SECONDS, lambda: _has_lease(world, everybody[-1]) and world.settled(everybody)
+        SETTLE_TIMEOUT_SECONDS, lambda: _has_lease(world, members[-1]) and world.settled(members)
     ):
-        raise RuntimeError(f"{size} members that take up a view do not settle")
+        raise RuntimeError(f"{size} members that imported one view did not all get a lease in time")
     return world
 
 
@@ -130,13 +130,13 @@
 
 
 def run_measured(world: World, seconds: float) -> float:
-    """Let virtual time pass; processor time that it took, in s."""
+    """Advance virtual time; return the processor time that this took, in seconds."""
     began = time.process_time()
     world.run(seconds)
     return time.process_time() - began
 
 
 def view_of(size: int) -> View:
-    """A view of so many members."""
+    """Return a view of `size` members."""
     peers = [_peer(name, ("10.0.0.1", PORT), place) for place, name in enumerate(member_names(size))]
     return View(1 << 16, 2, sorted_by_name(peers))
