--- a/benchmarks/capacity/module_slopes.py
+++ b/benchmarks/capacity/module_slopes.py
@@ -1,4 +1,4 @@
-"""What a decision of the module costs by the servers that a relay sees, and by the connections it holds."""
+"""Cost of the balancer's decisions by the servers that a relay sees and by its established connections."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 
 SERVERS, QUICK_SERVERS = (100, 500, 1_500, 5_000, 15_000), (50, 100, 200, 400)
 STANDING, QUICK_STANDING = (1_000, 2_000, 4_000, 8_000, 16_000), (100, 200, 400, 800)
-STANDING_SERVERS = 100  # that a relay sees while its connections are varied
-ROUNDS, QUICK_ROUNDS = 5, 2  # a point is the median of so many rounds
-CALLS_PER_ROUND = 40  # events of one round
+STANDING_SERVERS = 100  # servers that the relay sees while the number of connections is varied
+ROUNDS, QUICK_ROUNDS = 5, 2  # a point is the median of these rounds
+CALLS_PER_ROUND = 40
 GROUPS = 64
 ZONES = 24
-TICK_INTERVAL_MS = 1_000.0  # ms between two ticks
+TICK_INTERVAL_MS = 1_000.0
 
 
 def entries(count: int) -> tuple[ServerEntry, ...]:
-    """A list of so many ready servers, in all zones."""
+    """Return a list of `count` ready servers, spread over all zones."""
     return tuple(ServerEntry(f"10.{n >> 8}.{n & 255}.1:9001", f"zone-{n % ZONES}") for n in range(count))
 
 
 class BalancerDriver:
-    """A module as an operator's file sets it, driven by hand; times are ms."""
+    """Drives a balancer with the settings of an operator's configuration; times are in ms."""
 
     def __init__(self, servers: int) -> None:
         settings = BalancerSettings(
@@ -55,7 +55,7 @@
         self.balancer.handle(0.0, ServerListUpdate(ServerListKind.COMPLETE, self.entries))
 
     def arrive(self, group: int | None = None) -> int:
-        """One request arrives and its connection comes up, if it is sent."""
+        """Let one request arrive and, if it is sent, its connection be established. Return its number."""
         request = next(self.numbers)
         arrival = RequestArrived(request, "checkin", 1_200.0, tenant="club", group=group)
         for action in self.balancer.handle(self.now, arrival):
@@ -64,30 +64,30 @@
         return request
 
     def end(self, request: int) -> None:
-        """Its client leaves."""
+        """Let the client of a request leave."""
         self.balancer.handle(self.now, RequestAbandoned(request))
 
     def tick(self) -> None:
-        """The interval is over."""
+        """Fire the balancer's timer after one interval."""
         self.now += TICK_INTERVAL_MS
         self.balancer.handle(self.now, TimerFired("tick"))
 
     def update_server(self) -> None:
-        """One server's line of the list comes anew."""
+        """Deliver an incremental update with one server."""
         self.balancer.handle(self.now, ServerListUpdate(ServerListKind.INCREMENTAL, (next(self.changes),)))
 
     def replace_list(self) -> None:
-        """The whole list comes anew."""
+        """Deliver the complete list."""
         self.balancer.handle(self.now, ServerListUpdate(ServerListKind.COMPLETE, self.entries))
 
     def establish_connections(self, count: int) -> None:
-        """Let connections stand."""
+        """Establish `count` connections that stay open."""
         for number in range(count):
             self.arrive(number % GROUPS)
 
 
 def us_per_call(step: Callable[[], object], calls: int) -> float:
-    """Us of processor a call."""
+    """Return us of processor time per call."""
     began = time.process_time_ns()
     for _ in range(calls):
         step()
@@ -102,13 +102,13 @@
 
 
 def _steps(driver: BalancerDriver) -> dict[str, Callable[[], object]]:
-    known, new = itertools.cycle(range(GROUPS)), itertools.count(GROUPS)
+    known, new_groups = itertools.cycle(range(GROUPS)), itertools.count(GROUPS)
     for group in range(GROUPS):
         driver.balancer.groups.server_order(group)
     return {
         "module_arrival": _arrival_step(driver, None),
         "module_arrival_group": _arrival_step(driver, known),
-        "module_arrival_new_group": _arrival_step(driver, new),
+        "module_arrival_new_group": _arrival_step(driver, new_groups),
         "module_tick": driver.tick,
         "module_change": driver.update_server,
         "module_whole_list": driver.replace_list,
@@ -132,35 +132,37 @@
 
 
 def _by_servers(sizes: Iterable[int], rounds: int) -> list[Series]:
-    found: dict[str, list[Point]] = {name: [] for name in TITLES}
+    points_by_name: dict[str, list[Point]] = {name: [] for name in TITLES}
     for size in sizes:
         driver = BalancerDriver(size)
         for name, step in _steps(driver).items():
             step()
-            found[name].append(point(size, [us_per_call(step, CALLS_PER_ROUND) for _ in range(rounds)]))
-    return [Series(name, TITLES[name], "servers", "us", points) for name, points in found.items()]
+            points_by_name[name].append(
+                point(size, [us_per_call(step, CALLS_PER_ROUND) for _ in range(rounds)])
+            )
+    return [Series(name, TITLES[name], "servers", "us", points) for name, points in points_by_name.items()]
 
 
 def _by_standing(sizes: Iterable[int], rounds: int) -> list[Series]:
-    found: dict[str, list[Point]] = {name: [] for name in STANDING_TITLES}
+    points_by_name: dict[str, list[Point]] = {name: [] for name in STANDING_TITLES}
     for size in sizes:
         driver = BalancerDriver(STANDING_SERVERS)
         driver.establish_connections(size)
         steps = _steps(driver)
-        for name, points in found.items():
+        for name, points in points_by_name.items():
             step = steps[name.replace("standing", "module")]
             step()
             points.append(point(size, [us_per_call(step, CALLS_PER_ROUND) for _ in range(rounds)]))
-    return [Series(n, STANDING_TITLES[n], "standing connections", "us", p) for n, p in found.items()]
+    return [Series(n, STANDING_TITLES[n], "standing connections", "us", p) for n, p in points_by_name.items()]
 
 
 def _object_bytes(make: Callable[[], object]) -> float:
-    """Bytes that Python's objects of something take."""
+    """Return the bytes of the Python objects that `make` creates."""
     tracemalloc.start()
-    kept = make()
+    objects = make()
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del objects
     return float(size)
 
 
@@ -171,7 +173,7 @@
 
 
 def measure(quick: bool) -> list[Series | Figure]:
-    """All series of the module."""
+    """Return all series of the balancer."""
     rounds = QUICK_ROUNDS if quick else ROUNDS
     servers, standing = (QUICK_SERVERS, QUICK_STANDING) if quick else (SERVERS, STANDING)
     by_server = [point(n, [_object_bytes(lambda n=n: BalancerDriver(n))]) for n in servers]  # type: ignore[misc]
