--- a/benchmarks/capacity/control_slopes.py
+++ b/benchmarks/capacity/control_slopes.py
@@ -1,4 +1,4 @@
-"""What the shared map, owner look-ups, the watch on the server list and the operators' calls cost by size."""
+"""Cost of the shared map, owner lookups, the server list watch and the operators' calls, by size."""
 
 from __future__ import annotations
 
@@ -24,21 +24,19 @@
 
 ENTRIES, QUICK_ENTRIES = (64, 256, 1_024, 2_048, 4_096), (16, 32, 64, 128)
 MEMBERS, QUICK_MEMBERS = (50, 100, 200, 400, 1_000), (20, 40, 80, 160)
-# 1 MiB, the most that a relay reads of an answer, ends before 7,500
+# A relay reads at most 1 MiB of a response, which fewer than 7,500 servers fill.
 SERVERS, QUICK_SERVERS = (100, 300, 1_000, 3_000, 6_000), (50, 100, 200, 400)
-LISTED_SERVERS, QUICK_LISTED_SERVERS = (
-    (100, 500, 1_500, 5_000),
-    (50, 100, 200, 400),
-)  # on the list of the relay that is called
+# Servers on the list of the relay whose console is called.
+LISTED_SERVERS, QUICK_LISTED_SERVERS = (100, 500, 1_500, 5_000), (50, 100, 200, 400)
 ROUNDS, QUICK_ROUNDS = 5, 2
-CALLS_PER_ROUND = 200  # of one round of the cheap steps
+CALLS_PER_ROUND = 200  # for the steps that take little time
 CONSOLE_CALLS = 200
-KEY_COPIES = 3  # copies of a key
-NOW_MS = 1.8e12  # Unix ms
+KEY_COPIES = 3  # members that hold a key
+NOW_MS = 1.8e12  # Unix time
 
 
 def us_per_call(step: Callable[[], object], calls: int) -> float:
-    """Us of processor a call."""
+    """Return us of processor time per call."""
     began = time.process_time_ns()
     for _ in range(calls):
         step()
@@ -57,7 +55,7 @@
 
 
 def shared_map(sizes: Iterable[int], rounds: int) -> list[Series]:
-    """Merging a whole map that is known, one that is new, one put, and the bytes of an exchange."""
+    """Measure merging a known map, merging a new map, one put, and the bytes of an exchange and of the state."""
     known = list[Point]()
     new = list[Point]()
     put = list[Point]()
@@ -82,12 +80,12 @@
         put.append(point(count, [us_per_call(put_one, CALLS_PER_ROUND) for _ in range(rounds)]))
         size.append(point(count, [float(len(m.encode(entries)))]))
         tracemalloc.start()
-        kept = _full_map(
+        held_map = _full_map(
             m.MapEntry(e.key + "", e.timestamp, e.value) for e in (_entry(n) for n in range(count))
         )
         memory.append(point(count, [float(tracemalloc.get_traced_memory()[0])]))
         tracemalloc.stop()
-        assert len(kept.entries) == count
+        assert len(held_map.entries) == count
     return [
         Series("map_merge_known", "a map taken in that is known already", "entries", "us", known),
         Series("map_merge_new", "a map taken in that is all new", "entries", "us", new),
@@ -98,7 +96,7 @@
 
 
 def owner_lookups(sizes: Iterable[int], rounds: int) -> list[Series]:
-    """Whose a key is."""
+    """Measure finding the owner and the holders of a key, and the bytes of the view."""
     owner = list[Point]()
     holders = list[Point]()
     encoded = list[Point]()
@@ -132,14 +130,14 @@
 
 
 def server_list(sizes: Iterable[int], rounds: int) -> list[Series]:
-    """Reading a whole list as discovery tells it, its bytes, and a change of one server."""
+    """Measure parsing a complete list from discovery, its bytes, and parsing a change of one server."""
     whole = list[Point]()
     change = list[Point]()
     size = list[Point]()
     for count in sizes:
         listing = {"version": 1, "full": True, "servers": [_row(n) for n in range(count)]}
         body = json.dumps(listing).encode()
-        one = json.dumps({"version": 2, "full": False, "servers": [_row(0)]}).encode()
+        change_body = json.dumps({"version": 2, "full": False, "servers": [_row(0)]}).encode()
         directory = ServerDirectory()
 
         def read(body: bytes, directory: ServerDirectory = directory) -> ServerListUpdate:
@@ -147,7 +145,9 @@
 
         calls = max(2, 4_096 // count)
         whole.append(point(count, [us_per_call(lambda: read(body), calls) for _ in range(rounds)]))  # noqa: B023
-        change.append(point(count, [us_per_call(lambda: read(one), CALLS_PER_ROUND) for _ in range(rounds)]))  # noqa: B023
+        change.append(
+            point(count, [us_per_call(lambda: read(change_body), CALLS_PER_ROUND) for _ in range(rounds)])
+        )  # noqa: B023
         size.append(point(count, [float(len(body))]))
     return [
         Series("list_read", "the whole list parsed", "servers", "us", whole),
@@ -157,7 +157,7 @@
 
 
 async def _console(sizes: Iterable[int], rounds: int) -> list[Series]:
-    """Calls of a real relay's console, by the servers on its list."""
+    """Measure calls of a real relay's console by the servers on its list."""
     health = list[Point]()
     stats = list[Point]()
     for count in sizes:
@@ -182,7 +182,7 @@
 
 
 def measure(quick: bool) -> list[Series | Figure]:
-    """All series of control work other than the fleet's view."""
+    """Return all series of control work except the fleet's view."""
     rounds = QUICK_ROUNDS if quick else ROUNDS
     return [
         *shared_map(QUICK_ENTRIES if quick else ENTRIES, rounds),
