--- a/benchmarks/capacity/needs.py
+++ b/benchmarks/capacity/needs.py
@@ -1,4 +1,4 @@
-"""Needs at full size, each with the arithmetic that it comes from and where its parts were measured."""
+"""Needs at the design size, each with its arithmetic and the sources of the measured values in it."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class Kind(Enum):
-    """How far a figure may be trusted."""
+    """How a value was obtained; the page prints the values of this enum."""
 
     MEASURED = "measured"
     EXTRAPOLATED = "extrapolated"
-    CALCULATED = "reckoned"  # from settings, code and stated assumptions alone
-    FLOOR = "at least"  # the slope does not count: what was measured at the largest size
+    CALCULATED = "reckoned"  # only from settings, code and stated assumptions
+    FLOOR = "at least"  # measured at the largest size, as the slope is too inaccurate to extrapolate
     MISSING = "not measured"
 
 
@@ -24,12 +24,12 @@
 
 
 def format_exact(value: float) -> str:
-    """A set value as it is, thousands apart."""
+    """Format a value exactly, with thousands separators."""
     return f"{value:,.10g}"
 
 
 def format_rounded(value: float) -> str:
-    """A measured or reckoned value: three digits, thousands apart."""
+    """Format a measured or calculated value to three significant digits, with thousands separators."""
     if abs(value) >= 1000:
         digits = len(str(int(abs(value))))
         return f"{round(value, 3 - digits):,.0f}"
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Need:
-    """A figure: its value, its range, and how it came about."""
+    """A value with its range, how it was obtained, and the arithmetic behind it."""
 
     value: float
     low: float
@@ -48,14 +48,14 @@
     sources: frozenset[str] = frozenset()
 
     def times(self, factor: float, why: str) -> Need:
-        """Scaled; `why` says what the factor is."""
+        """Return the need scaled by a factor; `why` says what the factor is."""
         return replace(
             self, value=self.value * factor, low=self.low * factor, high=self.high * factor,
             arithmetic=f"({self.arithmetic}) x {format_rounded(factor)} ({why})",
         )  # fmt: skip
 
     def plus(self, other: Need) -> Need:
-        """The sum; as weak as the weaker of the two."""
+        """Return the sum, whose kind is the weaker of the two."""
         kind = min(self.kind, other.kind, key=KINDS_WEAKEST_FIRST.index)
         return Need(
             self.value + other.value, self.low + other.low, self.high + other.high, kind,
@@ -63,23 +63,23 @@
         )  # fmt: skip
 
     def calculated(self) -> Need:
-        """The same, where an assumption came into it."""
+        """Return the same need as calculated at best, for use where an assumption enters."""
         return replace(self, kind=min(self.kind, Kind.CALCULATED, key=KINDS_WEAKEST_FIRST.index))
 
 
 def calculated(value: float, arithmetic: str) -> Need:
-    """From settings and assumptions alone."""
+    """Return a need that comes only from settings and assumptions."""
     return Need(value, value, value, Kind.CALCULATED, arithmetic)
 
 
 class Measured:
-    """The stored figures, asked for by name."""
+    """Looks up stored results by name."""
 
     def __init__(self, store: Store) -> None:
         self.store = store
 
     def verdict(self, name: str) -> Verdict | None:
-        """A series' slope, or nothing where it was not measured or makes none."""
+        """Return a series' slope, or None if it was not measured or no slope can be fitted."""
         series = self.store.series.get(name)
         if series is None:
             return None
@@ -89,13 +89,17 @@
             return None
 
     def at(self, name: str, size: float) -> Need:
-        """A series at a size; at least the largest measured where its slope does not count."""
+        """Return the need of a series at a size.
+
+        If its slope does not count, the need is interpolated, or beyond the largest measured size the lower bound
+        measured there.
+        """
         series, verdict = self.store.series.get(name), self.verdict(name)
         if series is None or verdict is None:
             return Need(0.0, 0.0, 0.0, Kind.MISSING, f"{name}: not measured")
         sources, largest = frozenset({format_source(series)}), max(series.points, key=lambda p: p.size)
         if not verdict.counts and size <= largest.size:
-            return _between(series, size)
+            return _interpolate(series, size)
         if not verdict.counts:
             arithmetic = f"{name} at {format_rounded(largest.size)}, beyond which its slope does not count"
             return Need(largest.value, largest.low, largest.high, Kind.FLOOR, arithmetic, sources)
@@ -108,7 +112,7 @@
         return Need(fitted.at(size), low, high, kind, arithmetic, sources)
 
     def figure(self, name: str) -> Need:
-        """A single figure."""
+        """Return a single measured value."""
         one = self.store.figures.get(name)
         if one is None:
             return Need(0.0, 0.0, 0.0, Kind.MISSING, f"{name}: not measured")
@@ -122,9 +126,9 @@
         )
 
     def size_at_budget(self, name: str, budget: float) -> float:
-        """The size at which a series reaches a budget; infinite where none is known.
+        """Return the size at which a series reaches a budget, or infinity if none is known.
 
-        Where its slope does not count, only sizes between measured ones are looked at.
+        If its slope does not count, only sizes between measured ones are considered.
         """
         series, verdict = self.store.series.get(name), self.verdict(name)
         if series is None or verdict is None:
@@ -134,19 +138,19 @@
         ordered = sorted(series.points, key=lambda point: point.size)
         for before, after in itertools.pairwise(ordered):
             if before.value < budget <= after.value:
-                part = (budget - before.value) / (after.value - before.value)
-                return before.size + part * (after.size - before.size)
+                fraction = (budget - before.value) / (after.value - before.value)
+                return before.size + fraction * (after.size - before.size)
         return float("inf")
 
 
-def _between(series: Series, size: float) -> Need:
-    """A size within those measured, on the straight line between its neighbours."""
+def _interpolate(series: Series, size: float) -> Need:
+    """Return a need within the measured sizes by linear interpolation."""
     ordered = sorted(series.points, key=lambda point: point.size)
     before = max((p for p in ordered if p.size <= size), key=lambda p: p.size, default=ordered[0])
     after = min((p for p in ordered if p.size >= size), key=lambda p: p.size, default=ordered[-1])
-    part = 0.0 if after.size == before.size else (size - before.size) / (after.size - before.size)
+    fraction = 0.0 if after.size == before.size else (size - before.size) / (after.size - before.size)
     value, low, high = (
-        getattr(before, of) + part * (getattr(after, of) - getattr(before, of))
+        getattr(before, of) + fraction * (getattr(after, of) - getattr(before, of))
         for of in ("value", "low", "high")
     )
     arithmetic = f"{series.name} at {format_rounded(size)}, between those measured"
@@ -154,5 +158,5 @@
 
 
 def format_source(one: Series | Figure) -> str:
-    """Command and revision, short."""
+    """Return command and revision in short form."""
     return f"{one.command.removeprefix('python -m benchmarks.capacity ')} at {one.revision}"
