--- a/benchmarks/capacity/connections.py
+++ b/benchmarks/capacity/connections.py
@@ -119,7 +119,7 @@
     soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft_limit < target_limit:
         resource.setrlimit(resource.RLIMIT_NOFILE, (target_limit, hard_limit))
-    found: list[Series | Figure] = []
+    results: list[Series | Figure] = []
     for front in FRONTS:
         sizes = QUICK_SIZES if quick else SIZES[front.name]
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -127,5 +127,5 @@
         for name, title, unit in COST_SERIES:
             points = [point(size, [getattr(cost, name)]) for size, cost in costs.items()]
             full_title = f"{front.name} front: {title}"
-            found.append(Series(f"{front.name}_{name}", full_title, "standing connections", unit, points))
-    return found
+            results.append(Series(f"{front.name}_{name}", full_title, "standing connections", unit, points))
+    return results
--- a/benchmarks/capacity/fits.py
+++ b/benchmarks/capacity/fits.py
@@ -118,8 +118,8 @@
 
     def range_at(self, size: float) -> tuple[float, float]:
         """Return the lowest and highest cost by the chosen fit and all accepted ones."""
-        found = [one.at(size) for one in (self.fit, *self.accepted_fits)]
-        return min(found), max(found)
+        costs = [one.at(size) for one in (self.fit, *self.accepted_fits)]
+        return min(costs), max(costs)
 
 
 def judge(points: Sequence[Point], form: Form | None = None) -> Verdict:
--- a/benchmarks/capacity/fleet_slopes.py
+++ b/benchmarks/capacity/fleet_slopes.py
@@ -133,16 +133,16 @@
         sizes = QUICK_MEMORY_SIZES if quick else MEMORY_SIZES
         memory = pool.map(measure_memory, sizes)
         costs = list(pool.map(measure_one, jobs))
-    found: list[Series | Figure] = []
+    results: list[Series | Figure] = []
     for name, title, unit, value in COST_SERIES:
         points: list[Point] = [point(n, [value(c) for c in costs if c.size == n]) for n in sorted(runs)]
-        found.append(Series(name, title, "members", unit, points))
+        results.append(Series(name, title, "members", unit, points))
     held = [point(size, [value]) for size, value in zip(sizes, memory, strict=True)]
-    found.append(Series("view_memory", "a member's state", "members", "B", held))
+    results.append(Series("view_memory", "a member's state", "members", "B", held))
     if founded is not None:
         out = founded.result()[1]
         taken_up = next(c for c in costs if c.size == FOUNDED_MEMBERS).rest_datagrams / 2
         ratio = out / taken_up
         title = f"datagram bytes of {FOUNDED_MEMBERS} members that founded their fleet over those that took a view up"
-        found.append(Figure("view_founded_ratio", title, "", ratio, ratio, ratio))
-    return found
+        results.append(Figure("view_founded_ratio", title, "", ratio, ratio, ratio))
+    return results
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -158,12 +158,12 @@
     quiet_net.enter_network_namespace()
     quick = sys.argv[1:] == ["--quick"]
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        found = runner.run(
+        results = runner.run(
             _measure_round(
                 QUICK_RELAY_COUNT if quick else RELAY_COUNT, QUICK_REST_SECONDS if quick else REST_SECONDS
             )
         )
-    sys.stdout.write(msgspec.json.encode(found).decode())
+    sys.stdout.write(msgspec.json.encode(results).decode())
     return 0
 
 
@@ -180,7 +180,7 @@
         done = subprocess.run(command, cwd=ROOT, env=os.environ, stdout=subprocess.PIPE, check=True)
         rounds.append(msgspec.json.decode(done.stdout, type=Round))
     count = QUICK_RELAY_COUNT if quick else RELAY_COUNT
-    found: list[Series | Figure] = []
+    results: list[Series | Figure] = []
     for kind in ("hollow", "real", "bare", "virtual"):
         costs: list[Cost] = [getattr(one, kind) for one in rounds]
         rows = (
@@ -190,7 +190,7 @@
         )
         for what, unit, values in rows:
             if any(values):
-                found.append(
+                results.append(
                     _figure(f"{kind}_{what}", f"{count} {kind} relays: {what} of each", unit, values)
                 )
     ratios: dict[str, Callable[[Round], float]] = {
@@ -207,8 +207,8 @@
         "ratio_virtual_processor": "processor of the fleet's part, real over virtual time",
         "ratio_memory": "memory of the fleet's part, real over hollow",
     }
-    found += [_figure(n, titles[n], "", [of(one) for one in rounds]) for n, of in ratios.items()]
-    return found
+    results += [_figure(n, titles[n], "", [of(one) for one in rounds]) for n, of in ratios.items()]
+    return results
 
 
 if __name__ == "__main__":
