--- a/benchmarks/capacity/control_slopes.py
+++ b/benchmarks/capacity/control_slopes.py
@@ -137,7 +137,7 @@
     for count in sizes:
         listing = {"version": 1, "full": True, "servers": [_row(n) for n in range(count)]}
         body = json.dumps(listing).encode()
-        change_body = json.dumps({"version": 2, "full": False, "servers": [_row(0)]}).encode()
+        diff = json.dumps({"version": 2, "full": False, "servers": [_row(0)]}).encode()
         directory = ServerDirectory()
 
         def read(body: bytes, directory: ServerDirectory = directory) -> ServerListUpdate:
@@ -145,9 +145,7 @@
 
         calls = max(2, 4_096 // count)
         whole.append(point(count, [us_per_call(lambda: read(body), calls) for _ in range(rounds)]))  # noqa: B023
-        change.append(
-            point(count, [us_per_call(lambda: read(change_body), CALLS_PER_ROUND) for _ in range(rounds)])
-        )  # noqa: B023
+        change.append(point(count, [us_per_call(lambda: read(diff), CALLS_PER_ROUND) for _ in range(rounds)]))  # noqa: B023
         size.append(point(count, [float(len(body))]))
     return [
         Series("list_read", "the whole list parsed", "servers", "us", whole),
