--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -91,9 +91,8 @@
         host.life += 1
         config = NodeConfig(peer.name, *host.address, peer.zone, seeds, founders)
         node = Node(config, Random(world.random.getrandbits(64)), world.clock(host), lambda: UNIX)
-        handover = handover_state_decoder.decode(
-            m.encode(_handover(peer, view, world.clock(host)))
-        )  # decoded so that each member has its own copy of the view
+        # Encoded and decoded, so that each member has its own copy of the view.
+        handover = handover_state_decoder.decode(m.encode(_handover(peer, view, world.clock(host))))
         node.import_state(handover, world.clock(host))
         host.node = node
         world.carry_out_actions(host)
