--- a/benchmarks/capacity/role.py
+++ b/benchmarks/capacity/role.py
@@ -1,4 +1,4 @@
-"""A role of a relay at the size to design for: its needs, and where it breaks."""
+"""A role of a relay at the design size: its needs, and the size at which it reaches its limit."""
 
 from __future__ import annotations
 
@@ -8,10 +8,9 @@
 from benchmarks.capacity import demand as d
 from benchmarks.capacity.needs import Kind, Need
 
-SERVERS_PER_RELAY = (
-    1_500  # that one relay sees: an assumption; the row of the most it may see stands beside it
-)
-US_PER_CORE_SECOND = 1e6
+# Servers that one relay sees (assumption). The role of a relay's decisions also states how many it may see.
+SERVERS_PER_RELAY = 1_500
+US_PER_CORE_SECOND = 1e6  # us of processor time that one core has in a second
 CHANGES_PER_SECOND = d.CHANGES_PER_DAY / d.SECONDS_PER_DAY
 RESTARTS_PER_SECOND = (d.RESTARTS_PER_DAY + d.FAILURES_PER_DAY) / d.SECONDS_PER_DAY
 RELEASE_RESTARTS_PER_SECOND = d.RELAYS / (d.RELEASE_DURATION_HOURS * 3600)
@@ -19,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """One need of a role; without a budget it only informs."""
+    """One need of a role; a need without a budget is for information only."""
 
     what: str
     unit: str
@@ -28,27 +27,27 @@
 
     @property
     def budget_ratio(self) -> float | None:
-        """Need over budget."""
+        """Need divided by budget, or None without a budget."""
         return None if self.budget is None else self.need.value / self.budget
 
 
 @dataclass(slots=True, frozen=True)
 class Role:
-    """One kind of work."""
+    """One kind of work of a relay. The page prints the texts and rows."""
 
     name: str
-    control: bool  # else it is the data's, which the control budget does not cover
+    control: bool  # False for data roles, which the control budget does not cover
     holds: str
     mechanism: str
     rows: tuple[Row, ...]
-    moments: str  # what a rack, a zone, a release, and a region cut off and healed do, where no row says it
-    breaks: str
-    impossible: str = ""  # why it can't exist at full size, whatever it costs
-    total: bool = False  # a sum of other roles
+    moments: str  # effect of losing a rack or zone, a release, and a region cut off and healed, where no row has it
+    breaks: str  # size at which a limit or budget is reached
+    impossible: str = ""  # why the role can't exist at the design size at any cost; empty if it can
+    total: bool = False  # True for a sum of other roles
 
     @property
     def worst(self) -> Row | None:
-        """The row that is furthest over its budget."""
+        """The row with the highest need relative to its budget, or None if no row has a measured need and a budget."""
         budgeted_rows = [
             row for row in self.rows if row.budget_ratio is not None and row.need.kind is not Kind.MISSING
         ]
@@ -56,7 +55,7 @@
 
 
 def describe_limit(value: float, what: str) -> str:
-    """Where something breaks, in words."""
+    """Describe the size `value` at which the budget or limit `what` is used up; infinity means unknown."""
     if math.isinf(value):
         return f"no measured size spends {what}, and no slope that counts says which does"
     return f"{value:,.0f} spend {what}"
