--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -1,4 +1,4 @@
-"""Every role, in the page's order."""
+"""All roles, in the order of the page."""
 
 from __future__ import annotations
 
@@ -15,5 +15,5 @@
 
 
 def all_roles(measured: Measured) -> list[Role]:
-    """What each role needs."""
+    """Return every role with its needs."""
     return [make(measured) for make in ROLES]
