--- a/benchmarks/capacity/records.py
+++ b/benchmarks/capacity/records.py
@@ -1,4 +1,4 @@
-"""Measured series, and the file that keeps them: the page is made of nothing else."""
+"""Measured results and the file that stores them, the only source of the page's generated tables."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Point(Struct, frozen=True):
-    """One size: the median of some runs, the least and the most of them."""
+    """The result at one size: median, lowest and highest value of its runs."""
 
     size: float
     value: float
@@ -29,7 +29,7 @@
 
     name: str
     title: str
-    counted: str  # what the size counts
+    counted: str  # what the size is a number of, such as members or servers
     unit: str
     points: list[Point]
     command: str = ""
@@ -53,13 +53,13 @@
 
 
 class Store(Struct):
-    """All that was measured, by name."""
+    """All stored results by name."""
 
     series: dict[str, Series] = {}
     figures: dict[str, Figure] = {}
 
     def add(self, found: Iterable[Series | Figure], command: str, machine: str) -> None:
-        """Take in what a part has measured, with where it comes from, unless the part says so itself."""
+        """Add the results of a part, with command and revision unless the results have their own."""
         revision = current_revision()
         for one in found:
             attributed = msgspec.structs.replace(
@@ -72,25 +72,25 @@
 
 
 def load(path: Path = STORE) -> Store:
-    """Read the file; an empty store where there is none. Raises msgspec.MsgspecError."""
+    """Read the file; return an empty store if there is no file. Raises msgspec.MsgspecError."""
     return msgspec.json.decode(path.read_bytes(), type=Store) if path.exists() else Store()
 
 
 def save(store: Store, path: Path = STORE) -> None:
-    """Write the file, in an order that does not depend on which part ran last."""
+    """Write the file, sorted by name so that the order does not depend on which part ran last."""
     ordered = Store(dict(sorted(store.series.items())), dict(sorted(store.figures.items())))
     path.write_bytes(msgspec.json.format(msgspec.json.encode(ordered), indent=1) + b"\n")
 
 
 def current_revision() -> str:
-    """The commit that is measured, marked where a measured file differs from it."""
+    """Return the checked-out commit, with a + if files under violetdoor or benchmarks differ from it."""
     head = _git("rev-parse", "--short", "HEAD")
     changed = _git("status", "--porcelain", "--", "violetdoor", "benchmarks")
     return head + "+" * bool(changed)
 
 
 def revision_of(path: Path) -> str:
-    """The commit that last wrote a file."""
+    """Return the last commit that changed a file."""
     return _git("log", "-1", "--format=%h", "--", str(path))
 
 
@@ -100,6 +100,6 @@
 
 
 def point(size: float, values: Iterable[float]) -> Point:
-    """Some runs of one size as a point."""
+    """Summarize the values of one size's runs as a point."""
     found = sorted(values)
     return Point(size, statistics.median(found), found[0], found[-1], len(found))
