--- a/benchmarks/capacity/processes.py
+++ b/benchmarks/capacity/processes.py
@@ -1,4 +1,4 @@
-"""Relays as processes of the real program, with what they cost; each is ended by its id."""
+"""Relays as processes of the real program, with their resource usage; each is stopped by its process id."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 Address = tuple[str, int]
 
 CONSOLE_HOST = "127.0.0.1"
-START_TIMEOUT_SECONDS = 30.0  # s
-STOP_TIMEOUT_SECONDS = 10.0  # s after SIGTERM
+START_TIMEOUT_SECONDS = 30.0
+STOP_TIMEOUT_SECONDS = 10.0  # after SIGTERM; then SIGKILL
 CALL_TIMEOUT_SECONDS = 5.0
 BASE_SETTINGS: dict[str, Any] = {
     "front": "line", "listen": "127.0.0.1:0", "line": {"tenants": ["club"]},
@@ -28,7 +28,7 @@
 
 
 class Relay:
-    """One process, started with an operator's file of these settings over the least ones."""
+    """One process, started with a configuration of `settings` merged over `BASE_SETTINGS`."""
 
     def __init__(self, folder: Path, settings: dict[str, Any], name: str = "relay-1") -> None:
         self.folder, self.name = folder, name
@@ -50,7 +50,9 @@
         async with asyncio.timeout(START_TIMEOUT_SECONDS):
             await self.listening.wait()
         if self.address[1] == 0:
-            raise RuntimeError(f"{self.name} did not start: {self.last_line}")
+            raise RuntimeError(
+                f"{self.name} exited before it was listening; its last line was: {self.last_line}"
+            )
         return self
 
     async def _read(self) -> None:
@@ -81,19 +83,19 @@
         await self.reader_task
 
     def processor_seconds(self) -> float:
-        """S of processor since its start, to a microsecond or so; all its threads."""
+        """Return seconds of processor time of all threads since the start, accurate to about a microsecond."""
         tasks = Path(f"/proc/{self.process.pid}/task").iterdir()
         spent = sum(int((task / "schedstat").read_text().split()[0]) for task in tasks)
         return spent / 1e9
 
     def resident_bytes(self) -> int:
-        """Bytes resident."""
+        """Return the resident memory in bytes."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(status.partition("VmRSS:")[2].split()[0]) * 1024
 
 
 async def call_console(address: Address, path: str) -> str:
-    """The body of an answer; raises OSError where there is none."""
+    """Call a path of the console and return the body of the response. Raises OSError if there is none."""
     async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
         reader, writer = await asyncio.open_connection(*address)
         writer.write(f"GET {path} HTTP/1.1\r\nHost: capacity\r\n\r\n".encode())
