--- a/benchmarks/capacity/peers.py
+++ b/benchmarks/capacity/peers.py
@@ -1,4 +1,7 @@
-"""Standing clients and the servers behind a relay, of both fronts, many in one process; loopback only."""
+"""Simulated clients with established connections and the servers behind a relay, for both fronts, on loopback.
+
+Many clients and servers run in one process.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +13,16 @@
 Address = tuple[str, int]
 
 HOST = "127.0.0.1"
-ESTABLISH_TIMEOUT_SECONDS = 20.0  # s until a client's connection has to be up
-MAX_ATTEMPTS, RETRY_DELAY_SECONDS = 20, 1.0  # of a client that is refused; s between two
+ESTABLISH_TIMEOUT_SECONDS = 20.0  # for each attempt of a client
+MAX_ATTEMPTS, RETRY_DELAY_SECONDS = 20, 1.0  # for a client that is refused
 SUBJECT = b"feed"
-BODY = b"x" * 64  # of one delivery
+BODY = b"x" * 64  # payload of one delivery
 INFO = b'INFO {"server_id":"capacity","headers":true,"max_payload":65536}\r\n'
 CONNECT = b'CONNECT {"verbose":false,"user":"club"}\r\nPING\r\nSUB feed 1\r\n'
 
 
 class CrlfProtocol(asyncio.Protocol):
-    """One side of a connection that is read line by line."""
+    """Base of both ends of a connection: splits the received data into lines that end with CRLF."""
 
     transport: asyncio.Transport
 
@@ -27,7 +30,8 @@
         self.partial_line = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its class
+        # uvloop's transport has the interface but not the class.
+        self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
         *lines, self.partial_line = (self.partial_line + data).split(b"\r\n")
@@ -35,14 +39,14 @@
             self.line_received(line)
 
     def line_received(self, line: bytes) -> None:
-        """Take one line without its end."""
+        """Handle one line, without its CRLF."""
         raise NotImplementedError
 
 
 class Server(CrlfProtocol):
-    """One connection of the relay to a server; `up` once it stands for a client."""
+    """The server's end of a connection from the relay; in `standing` while it serves an established client."""
 
-    standing: set[Server]  # of all servers of one kind
+    standing: set[Server]  # established connections, shared by all servers of one front
 
     def __init__(self, standing: set[Server]) -> None:
         super().__init__()
@@ -52,12 +56,12 @@
         self.standing.discard(self)
 
     def deliver(self) -> None:
-        """Send the client one message."""
+        """Send one message to the client."""
         raise NotImplementedError
 
 
 class LineServer(Server):
-    """A gate server of the line protocol."""
+    """The server's end of a connection in the line protocol."""
 
     def line_received(self, line: bytes) -> None:
         if line == b"PING":
@@ -71,7 +75,7 @@
 
 
 class NatsServer(Server):
-    """A NATS-speaking server with the subject that all clients subscribe to."""
+    """The server's end of a NATS connection; all clients subscribe to one subject."""
 
     sid = b""
 
@@ -91,7 +95,7 @@
 
 
 class Client(CrlfProtocol):
-    """A client that stands and counts what it gets."""
+    """A client that keeps its connection open and counts the messages that it receives."""
 
     numbers = itertools.count(1)
 
@@ -102,11 +106,11 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         if not self.established.done():
-            self.established.set_exception(ConnectionError("ended before it was up"))
+            self.established.set_exception(ConnectionError("connection lost before it was established"))
 
 
 class LineClient(Client):
-    """A turnstile: it opens and listens."""
+    """A client of the line protocol that opens a request and receives messages."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -123,7 +127,7 @@
 
 
 class NatsClient(Client):
-    """A subscriber."""
+    """A client of the NATS protocol that subscribes to one subject."""
 
     def line_received(self, line: bytes) -> None:
         if line.startswith(b"INFO"):
@@ -139,28 +143,28 @@
 
 
 class LineFront:
-    """Line protocol."""
+    """Name, server and client of the line protocol's front."""
 
     name, server, client = "line", LineServer, LineClient
 
 
 class NatsFront:
-    """NATS client protocol."""
+    """Name, server and client of the NATS front."""
 
     name, server, client = "nats", NatsServer, NatsClient
 
 
 async def serve(kind: type[Server], standing: set[Server]) -> tuple[asyncio.Server, Address]:
-    """Listen as one server."""
+    """Listen as one server; return it with its address."""
     server = await asyncio.get_running_loop().create_server(lambda: kind(standing), HOST, 0, backlog=1024)
     host, port = server.sockets[0].getsockname()[:2]
     return server, (str(host), int(port))
 
 
 async def connect_clients(kind: type[Client], address: Address, count: int, at_once: int) -> list[Client]:
-    """Bring so many clients up, some at a time; who is refused comes again, as clients do.
+    """Connect `count` clients, `at_once` at a time; a refused client retries, as real clients do.
 
-    Raises ConnectionError where one is refused too often, or TimeoutError.
+    Raises ConnectionError if a client is refused too often, TimeoutError if an attempt gets no answer.
     """
     clients: list[Client] = []
 
