--- a/benchmarks/capacity/scale_figures.py
+++ b/benchmarks/capacity/scale_figures.py
@@ -1,4 +1,4 @@
-"""Figures of the large fleet: what `python -m benchmarks.fleet_scale --write` left on its page."""
+"""Results of the large fleet, read from the page that `python -m benchmarks.fleet_scale --write` writes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 COMMAND = "python -m benchmarks.fleet_scale --write"
 PAGE = ROOT / "docs" / "measurements" / "fleet_scale.md"
-# Names of the store by the titles of the page's table.
+# Names in the store by the row titles of the page's table.
 TITLES = {
     "bytes of a relay at rest": "scale_bytes_rest",
     "bytes of a relay on an ordinary day": "scale_bytes_day",
@@ -25,7 +25,7 @@
     "processor of a control machine, the most at rest, in restarts or from then on": "scale_machine_processor",
     "memory of a control machine, the most": "scale_machine_memory",
 }
-# The page's units, as the store has them.
+# Units of the page: the store's unit, and the factor that converts to it.
 UNITS = {
     "KB/s": ("B/s", 1000.0),
     "%": ("cores", 0.01),
@@ -36,33 +36,35 @@
 
 
 class PageFormatError(ValueError):
-    """The page lacks a row, or has a value in another form."""
+    """The page lacks a row, or a value does not have the expected form."""
 
 
 def figures(text: str) -> list[Figure]:
-    """The rows of the page's table that the capacity page needs. Raises PageFormatError."""
-    found = []
+    """Return the rows of the page's table that the capacity page needs. Raises PageFormatError."""
+    results = []
     for line in text.splitlines():
         cells = [cell.strip() for cell in line.strip("|").split("|")]
         if line.startswith("|") and cells[0] in TITLES:
-            found.append(_figure(cells))
-    missing = set(TITLES.values()) - {figure.name for figure in found}
+            results.append(_figure(cells))
+    missing = set(TITLES.values()) - {figure.name for figure in results}
     if missing:
-        raise PageFormatError(f"no row for {', '.join(sorted(missing))}")
-    return found
+        raise PageFormatError(f"the table lacks the rows for {', '.join(sorted(missing))}")
+    return results
 
 
 def _figure(cells: list[str]) -> Figure:
     title, _, _, measured, samples = cells[:5]
     match = VALUE_PATTERN.fullmatch(measured)
     if match is None:
-        raise PageFormatError(f"{title}: found {measured!r}")
+        raise PageFormatError(
+            f"{title}: found {measured!r}, expected a number with the unit KB/s, %, MiB or s"
+        )
     unit, factor = UNITS[match[2]]
     value = float(match[1].replace(",", "")) * factor
     return Figure(TITLES[title], title, unit, value, value, value, int(samples))
 
 
 def measure(quick: bool) -> list[Figure]:
-    """Take the figures over; the measurement itself is `python -m benchmarks.fleet_scale --write`."""
+    """Read the results from the page; `python -m benchmarks.fleet_scale --write` does the measurement."""
     revision = revision_of(PAGE)
     return [replace(figure, command=COMMAND, revision=revision) for figure in figures(PAGE.read_text())]
