--- a/benchmarks/capacity/control_roles.py
+++ b/benchmarks/capacity/control_roles.py
@@ -1,4 +1,4 @@
-"""The roles that are control, all of them within the budget of one relay, and what stands beside relays."""
+"""The control roles: those that share the budget of one relay, and those outside of relays."""
 
 from __future__ import annotations
 
@@ -17,19 +17,15 @@
     describe_limit,
 )
 
-HEALTH_CALL_INTERVAL_S, STATS_CALL_INTERVAL_S = (
-    5.0,
-    15.0,
-)  # s between two calls of a monitor at each relay: an assumption
-TOPIC_ENTRY_BYTES = 64  # bytes of one shard in a directory: an assumption
-UNCHANGED_CALL_BYTES = (
-    900  # of one call of discovery that brings no change, with TCP's opening and end: reckoned
-)
-CHANGED_CALL_BYTES = 1_050  # of one that brings a change of one server
+HEALTH_CALL_INTERVAL_S, STATS_CALL_INTERVAL_S = 5.0, 15.0  # of a monitor at each relay (assumption)
+TOPIC_ENTRY_BYTES = 64  # one shard in a topic directory (assumption)
+# One call of discovery without a change, with TCP's handshake and close (calculated); one with a changed server.
+UNCHANGED_CALL_BYTES = 900
+CHANGED_CALL_BYTES = 1_050
 
 
 def server_list_watch(m: Measured) -> Role:
-    """The watch on the server list."""
+    """Return the role of the watch on the server list."""
     calls = 1 / limits.LIST_HOLD_S
     rest = calculated(
         calls * UNCHANGED_CALL_BYTES, f"{calls} calls a s x {UNCHANGED_CALL_BYTES} B (reckoned)"
@@ -44,7 +40,7 @@
         CHANGES_PER_SECOND / US_PER_CORE_SECOND, "changes a s, in cores"
     )
     whole = m.at("list_read", SERVERS_PER_RELAY).plus(m.at("module_whole_list", SERVERS_PER_RELAY))
-    most = m.size_at_budget("list_bytes", limits.LIST_BODY_BYTES)
+    max_servers = m.size_at_budget("list_bytes", limits.LIST_BODY_BYTES)
     return Role(
         "a relay's watch on the server list", True, f"a line of each of {SERVERS_PER_RELAY:,} servers",
         "`violetdoor/net/server_list_watch.py`, one call after another, held 4 s",
@@ -58,12 +54,12 @@
         ),
         "rack and zone of servers: one change that has them all; a release: a whole list for each relay once; a cut: calls fail, "
         "back-off, then a whole list",
-        f"{describe_limit(most, 'the 1 MiB that an answer may have')} (servers on the list)",
+        f"{describe_limit(max_servers, 'the 1 MiB that an answer may have')} (servers on the list)",
     )  # fmt: skip
 
 
 def view(m: Measured) -> Role:
-    """The flat view of the fleet."""
+    """Return the role of a member of the fleet's flat view."""
     n = float(d.RELAYS)
     rest, restart = m.at("view_rest_bytes", n), m.at("view_restart_bytes", n)
     day = rest.plus(
@@ -111,24 +107,24 @@
         f"{RELEASE_RESTARTS_PER_SECOND:.3f} restarts a s in a release of {d.RELEASE_DURATION_HOURS:g} h",
     )
     rows.append(Row("bytes beyond rest, a release", "B/s", release.calculated(), d.CONTROL_BYTES_PER_SECOND))
-    most = m.size_at_budget("view_rest_bytes", d.CONTROL_BYTES_PER_SECOND)
+    max_members = m.size_at_budget("view_rest_bytes", d.CONTROL_BYTES_PER_SECOND)
     return Role(
         "a relay's part in the fleet's view", True, f"{d.RELAYS:,} members, their health, the newest round of heartbeats",
         "`violetdoor/fleet`, one flat view; beyond it: none yet", tuple(rows),
         "rows; the smaller side of a cut holds no lease",
-        f"{describe_limit(most, 'the bytes at rest')}; {limits.MAX_VIEW_MEMBERS:,} members fill a view",
+        f"{describe_limit(max_members, 'the bytes at rest')}; {limits.MAX_VIEW_MEMBERS:,} members fill a view",
         f"a view holds {limits.MAX_VIEW_MEMBERS:,} members at the most" if limits.MAX_VIEW_MEMBERS < d.RELAYS else "",
     )  # fmt: skip
 
 
 def shared_map(m: Measured) -> Role:
-    """Shared map and bans."""
-    kept = CHANGES_PER_SECOND * limits.MAP_TOMBSTONE_RETENTION_S
+    """Return the role of the shared map, which holds the bans."""
+    retained_entries = CHANGES_PER_SECOND * limits.MAP_TOMBSTONE_RETENTION_S
     exchanges = 4 / limits.VIEW_SYNC_INTERVAL_S
     full = m.at("map_bytes", limits.MAX_MAP_ENTRIES)
     why = "an exchange each 2.5 s made and one served, the map both ways in each"
-    day = m.at("map_bytes", kept).times(exchanges, why).calculated()
-    merge = m.at("map_merge_known", limits.MAX_MAP_ENTRIES).times(
+    day = m.at("map_bytes", retained_entries).times(exchanges, why).calculated()
+    merge_processor = m.at("map_merge_known", limits.MAX_MAP_ENTRIES).times(
         exchanges / 2 / US_PER_CORE_SECOND, "maps taken in a s, in cores"
     )
     return Role(
@@ -136,10 +132,10 @@
         "`violetdoor/fleet/shared_map.py`: told on with packets, exchanged whole with each call of the view",
         (
             Row("entries where each change of a day is one, kept an hour", "",
-                calculated(kept, f"{CHANGES_PER_SECOND:.3f} a s x {limits.MAP_TOMBSTONE_RETENTION_S:.0f} s"), limits.MAX_MAP_ENTRIES),
+                calculated(retained_entries, f"{CHANGES_PER_SECOND:.3f} a s x {limits.MAP_TOMBSTONE_RETENTION_S:.0f} s"), limits.MAX_MAP_ENTRIES),
             Row("bytes on an ordinary day", "B/s", day, d.CONTROL_BYTES_PER_SECOND),
             Row("bytes, the map full", "B/s", full.times(exchanges, why).calculated(), d.CONTROL_BYTES_PER_SECOND),
-            Row("processor, the map full", "cores", merge, d.CONTROL_CORE_SHARE),
+            Row("processor, the map full", "cores", merge_processor, d.CONTROL_CORE_SHARE),
             Row("memory, the map full", "MiB", m.at("map_memory", limits.MAX_MAP_ENTRIES).times(2**-20, "MiB a byte"),
                 d.CONTROL_MEMORY_BYTES / 2**20),
         ),
@@ -149,15 +145,15 @@
 
 
 def owner_lookups(m: Measured) -> Role:
-    """Whose a key is."""
+    """Return the role of finding the owner of a key."""
     one = m.at("owner_lookup", d.RELAYS)
-    every = one.times(d.SHARDS / US_PER_CORE_SECOND, f"{d.SHARDS:,} shards, in s of a core")
+    lookups_of_all_shards = one.times(d.SHARDS / US_PER_CORE_SECOND, f"{d.SHARDS:,} shards, in s of a core")
     budget = d.CONTROL_CORE_SHARE * d.CHANGE_PROPAGATION_LIMIT_S
     return Role(
         "owner look-ups", True, "nothing beyond the view", "`View.owner`, all members weighed for each key",
         (
             Row("one look-up", "us", one),
-            Row("all shards anew after a change of members, if a relay is to know its own", "core s", every.calculated(), budget),
+            Row("all shards anew after a change of members, if a relay is to know its own", "core s", lookups_of_all_shards.calculated(), budget),
             Row("restarts and failures a s, each such a change", "1/s",
                 calculated(RESTARTS_PER_SECOND, f"({d.RESTARTS_PER_DAY:,} + {d.FAILURES_PER_DAY}) / 86,400 s")),
         ),
@@ -168,14 +164,14 @@
 
 
 def cold_server_shares(m: Measured) -> Role:
-    """Shares of cold servers."""
-    wrong = d.RELAYS / min(d.RELAYS, limits.MAX_VIEW_MEMBERS)
+    """Return the role of sharing cold servers among the relays."""
+    load_factor = d.RELAYS / min(d.RELAYS, limits.MAX_VIEW_MEMBERS)
     return Role(
         "cold-server shares", True, "one number: how many relays share the servers", "`Node.active_relays`, from the view",
         (
             Row("bytes beyond the view's", "B/s", calculated(0.0, "nothing of its own is sent"), d.CONTROL_BYTES_PER_SECOND),
             Row("a cold server's load where each relay counts one full view only, as a part of what it can take", "",
-                calculated(wrong, f"{d.RELAYS:,} / {limits.MAX_VIEW_MEMBERS:,}"), 1.0),
+                calculated(load_factor, f"{d.RELAYS:,} / {limits.MAX_VIEW_MEMBERS:,}"), 1.0),
         ),
         "in a cut each side counts at least half of the view, so both together take twice the whole at the most",
         f"{limits.MAX_VIEW_MEMBERS:,} relays: as the view", "as the view: relays outside it are not counted",
@@ -183,7 +179,7 @@
 
 
 def console(m: Measured) -> Role:
-    """Operators' calls and monitors."""
+    """Return the role of answering operators and monitors."""
     health, stats = m.at("console_health", SERVERS_PER_RELAY), m.at("console_stats", SERVERS_PER_RELAY)
     need = health.times(
         1 / HEALTH_CALL_INTERVAL_S / US_PER_CORE_SECOND, f"each {HEALTH_CALL_INTERVAL_S:g} s, in cores"
@@ -207,13 +203,13 @@
 
 
 def control_machine(m: Measured) -> Role:
-    """Machines that are set aside for control."""
-    each = d.RELAYS / d.CONTROL_MACHINES
+    """Return the role of a machine that does control work only."""
+    relays_per_machine = d.RELAYS / d.CONTROL_MACHINES
     return Role(
         "control machine", True, "the sessions of its relays, its region's roster, the rosters of all others, the shared map",
         "`violetdoor/control`: groups of four or five a region, by `benchmarks/fleet_scale` with all on one machine",
         (
-            Row("relays of one machine", "", calculated(each, f"{d.RELAYS:,} / {d.CONTROL_MACHINES}")),
+            Row("relays of one machine", "", calculated(relays_per_machine, f"{d.RELAYS:,} / {d.CONTROL_MACHINES}")),
             Row("processor, the most", "cores", m.figure("scale_machine_processor"), 1.0),
             Row("memory, the most", "MiB", m.figure("scale_machine_memory"), 512.0),
             Row("restarts a s that one machine sees", "1/s",
@@ -225,7 +221,7 @@
 
 
 def multi_view_membership(m: Measured) -> Role:
-    """Membership of more relays than one view holds."""
+    """Return the role of membership with more relays than one view can hold."""
     return Role(
         "membership beyond one flat view", True,
         "at a relay: its region's roster, counts of the other regions, the shared map, one session",
@@ -248,11 +244,11 @@
 
 
 def discovery(m: Measured) -> Role:
-    """The other side of the watches."""
+    """Return the role of the discovery service that answers the watches."""
     rest = d.RELAYS / limits.LIST_HOLD_S
     day = CHANGES_PER_SECOND * d.RELAYS
     whole = m.at("list_bytes", SERVERS_PER_RELAY)
-    heal = d.RELAYS_PER_REGION * limits.LIST_SERVICE_TIME_S
+    healing_seconds = d.RELAYS_PER_REGION * limits.LIST_SERVICE_TIME_S
     return Role(
         "discovery's side", True, "the list, and a held call of each relay", "the deployment's own; the relay spreads its calls",
         (
@@ -260,7 +256,7 @@
             Row("answers a s on an ordinary day, beyond rest", "1/s", calculated(day, f"{CHANGES_PER_SECOND:.3f} x {d.RELAYS:,}")),
             Row("answers to one change, at once", "", calculated(d.RELAYS, "all relays")),
             Row("a region heals, whole lists: s of discovery, a call each 125 ms as the module takes it", "s",
-                calculated(heal, f"{d.RELAYS_PER_REGION:.0f} x {limits.LIST_SERVICE_TIME_S} s"), d.CHANGE_PROPAGATION_LIMIT_S),
+                calculated(healing_seconds, f"{d.RELAYS_PER_REGION:.0f} x {limits.LIST_SERVICE_TIME_S} s"), d.CHANGE_PROPAGATION_LIMIT_S),
             Row("a region heals, whole lists", "MB",
                 whole.times(d.RELAYS_PER_REGION / 1e6, f"{d.RELAYS_PER_REGION:.0f} relays, in MB").calculated()),
         ),
@@ -270,7 +266,7 @@
 
 
 def topic_directory(m: Measured) -> Role:
-    """Which shard is where."""
+    """Return the role of the directory that maps topic shards to relays."""
     table = d.SHARDS * TOPIC_ENTRY_BYTES
     return Role(
         "topic directory", True, f"{d.SHARDS:,} shards", "none yet: it does not exist",
@@ -287,9 +283,9 @@
 
 
 def all_control(m: Measured) -> Role:
-    """All control of one relay, on an ordinary day."""
+    """Return the sum of the control roles of one relay on an ordinary day."""
     parts = {role.name: role for role in (server_list_watch(m), view(m), shared_map(m), console(m))}
-    chosen = {
+    rows_to_sum = {
         ("bytes on an ordinary day", "B/s", float(d.CONTROL_BYTES_PER_SECOND)): (
             ("a relay's watch on the server list", "bytes on an ordinary day"),
             ("a relay's part in the fleet's view", "bytes on an ordinary day"),
@@ -307,13 +303,15 @@
         ),
     }
     rows = []
-    for (what, unit, budget), wanted in chosen.items():
-        needs = [next(row.need for row in parts[name].rows if row.what == of) for name, of in wanted]
+    for (what, unit, budget), role_rows in rows_to_sum.items():
+        needs = [next(row.need for row in parts[name].rows if row.what == of) for name, of in role_rows]
         total = needs[0]
         for one in needs[1:]:
             total = total.plus(one)
-        summed = Need(total.value, total.low, total.high, total.kind, "sum of the rows above", total.sources)
-        rows.append(Row(what, unit, summed, budget))
+        total_need = Need(
+            total.value, total.low, total.high, total.kind, "sum of the rows above", total.sources
+        )
+        rows.append(Row(what, unit, total_need, budget))
     return Role(
         "all control of a relay together", True, "what the roles above hold", "as above; what does not exist yet is not in it",
         tuple(rows), "those of the view", "as the view", total=True,
