--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,4 +1,4 @@
-"""Writes the generated tables of `docs/CAPACITY.md` from the stored figures: nothing in them is typed by hand."""
+"""Generate the tables of `docs/CAPACITY.md` from the stored results; none of their content is written by hand."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from benchmarks.capacity.roles import all_roles
 
 PAGE = ROOT / "docs" / "CAPACITY.md"
-MAX_BYTES_DIFFERENCE = 0.1  # part by which bytes of hollow and real relays may differ
+MAX_BYTES_DIFFERENCE = 0.1  # largest relative difference between the bytes of hollow and real relays
 BLOCK_PATTERN = re.compile(r"(<!-- generated: (\w+) -->\n).*?(<!-- end: \2 -->)", re.DOTALL)
 
 
 class PageError(ValueError):
-    """The page lacks a block, or has one that nobody writes."""
+    """The page lacks a generated block, or has one that no function in `BLOCKS` writes."""
 
 
-def table(head: list[str], rows: list[list[str]]) -> list[str]:
-    """Lines of a table."""
-    cells = [head, ["---"] * len(head), *rows]
+def table(columns: list[str], rows: list[list[str]]) -> list[str]:
+    """Return the lines of a Markdown table."""
+    cells = [columns, ["---"] * len(columns), *rows]
     return ["| " + " | ".join(one) + " |" for one in cells]
 
 
 def size_block(store: Store) -> list[str]:
-    """The size to design for, and what follows from it by division."""
+    """Return the design size and the values per relay and per second that follow from it."""
     rows = [
         ["relays", f"{d.RELAYS:,}", ""],
         ["connections", f"{d.CONNECTIONS:,}", f"{d.CONNECTIONS_PER_RELAY:,} a relay"],
@@ -48,43 +48,43 @@
 
 
 def sources_block(store: Store) -> list[str]:
-    """Which command at which revision, on which machine, brought what."""
-    found: dict[tuple[str, str, str], int] = {}
-    kept: list[Series | Figure] = [*store.series.values(), *store.figures.values()]
-    for one in kept:
+    """Return how many results come from each command, revision and machine."""
+    counts_by_source: dict[tuple[str, str, str], int] = {}
+    results: list[Series | Figure] = [*store.series.values(), *store.figures.values()]
+    for one in results:
         key = one.command, one.revision, one.measured_on
-        found[key] = found.get(key, 0) + 1
-    rows = [[f"`{c}`", f"`{r}`", on, str(count)] for (c, r, on), count in sorted(found.items())]
+        counts_by_source[key] = counts_by_source.get(key, 0) + 1
+    rows = [[f"`{c}`", f"`{r}`", on, str(count)] for (c, r, on), count in sorted(counts_by_source.items())]
     return table(["command", "revision", "machine", "series and figures"], rows)
 
 
 def _point(one: Point) -> str:
-    spread = (
+    value_range = (
         ""
         if one.runs == 1
         else f" ({format_rounded(one.low)} to {format_rounded(one.high)}, {one.runs} runs)"
     )
-    return f"{format_exact(one.size)}: {format_rounded(one.value)}{spread}"
+    return f"{format_exact(one.size)}: {format_rounded(one.value)}{value_range}"
 
 
 def _slope_row(series: Series) -> list[str]:
     shown = "; ".join(_point(one) for one in series.points)
-    head = [f"`{series.name}`", series.title, series.unit, shown]
+    first_cells = [f"`{series.name}`", series.title, series.unit, shown]
     try:
         verdict = judge(series.points)
     except FitError as err:
-        return [*head, "none", str(err), "", "no"]
+        return [*first_cells, "none", str(err), "", "no"]
     fitted = verdict.fit
     form = format_rounded(fitted.base) + (
         f" + {format_rounded(fitted.slope)} x {fitted.form.value}" if fitted.slope else ""
     )
     held_out = f"{format_rounded(verdict.predicted)} / {format_rounded(verdict.measured)} ({verdict.prediction_error:+.1%})"
-    return [*head, form, f"{fitted.residual:.1%}", held_out, "yes" if verdict.counts else "**no**"]
+    return [*first_cells, form, f"{fitted.residual:.1%}", held_out, "yes" if verdict.counts else "**no**"]
 
 
 def slopes_block(store: Store) -> list[str]:
-    """Every series with its slope and how that did on the largest size."""
-    head = [
+    """Return every series with its slope and its prediction of the largest size."""
+    columns = [
         "series",
         "what",
         "unit",
@@ -96,13 +96,13 @@
     ]
     lines: list[str] = []
     for counted in sorted({one.counted for one in store.series.values()}):
-        chosen = [one for one in store.series.values() if one.counted == counted]
-        lines += [f"By {counted}:", "", *table(head, [_slope_row(one) for one in chosen]), ""]
+        series_of_size = [one for one in store.series.values() if one.counted == counted]
+        lines += [f"By {counted}:", "", *table(columns, [_slope_row(one) for one in series_of_size]), ""]
     return lines[:-1]
 
 
 def hollow_block(store: Store) -> list[str]:
-    """Single figures: hollow relays and real ones."""
+    """Return the single figures, and whether hollow and virtual relays match real ones."""
     rows = [
         [f"`{one.name}`", one.title, f"{format_rounded(one.value)} {one.unit}", f"{format_rounded(one.low)} to {format_rounded(one.high)}",
          str(one.runs), f"`{one.command}` at `{one.revision}`"]
@@ -135,37 +135,39 @@
     need = row.need
     if need.kind is Kind.MISSING:
         return [row.what, "not measured", "", "", "", need.kind.value, need.arithmetic, ""]
-    spread = f"{format_rounded(need.low)} to {format_rounded(need.high)}" if need.low != need.high else ""
+    value_range = (
+        f"{format_rounded(need.low)} to {format_rounded(need.high)}" if need.low != need.high else ""
+    )
     budget = "" if row.budget is None else format_exact(row.budget)
     prefix = "at least " if need.kind is Kind.FLOOR else ""
     origin = "; ".join(f"`{one}`" for one in sorted(need.sources)) or "code, settings"
     return [
-        row.what, f"{prefix}{format_rounded(need.value)} {row.unit}".strip(), spread, budget, _format_budget_ratio(row),
+        row.what, f"{prefix}{format_rounded(need.value)} {row.unit}".strip(), value_range, budget, _format_budget_ratio(row),
         need.kind.value, need.arithmetic, origin,
     ]  # fmt: skip
 
 
 def role_lines(role: Role) -> list[str]:
-    """One role's part of the page."""
-    head = ["need", "at full size", "range", "budget", "need / budget", "how known", "arithmetic", "from"]
+    """Return one role's section of the page."""
+    columns = ["need", "at full size", "range", "budget", "need / budget", "how known", "arithmetic", "from"]
     return [
         f"### {role.name[0].upper()}{role.name[1:]}", "",
         f"- {'Control' if role.control else 'Data'}. Holds: {role.holds}.",
         f"- Carried by: {role.mechanism}.",
         f"- Bad moments: {role.moments}.",
         f"- Breaks at: {role.breaks}{'; ' + role.impossible if role.impossible else ''}.",
-        "", *table(head, [_row(row) for row in role.rows]), "",
+        "", *table(columns, [_row(row) for row in role.rows]), "",
     ]  # fmt: skip
 
 
 def roles_block(store: Store) -> list[str]:
-    """All roles in full."""
+    """Return the sections of all roles."""
     lines = [line for role in all_roles(Measured(store)) for line in role_lines(role)]
     return lines[:-1]
 
 
 def summary_block(store: Store) -> list[str]:
-    """One line a role: what it is furthest over."""
+    """Return a table with one row per role: its highest need relative to its budget."""
     rows = []
     for role in all_roles(Measured(store)):
         worst = role.worst
@@ -175,14 +177,14 @@
             else f"{worst.what}: {format_rounded(worst.need.value)} {worst.unit}".strip()
             + f" of {format_exact(worst.budget or 0.0)}"
         )
-        exists = f"no: {role.impossible}" if role.impossible else "yes"
+        can_exist = f"no: {role.impossible}" if role.impossible else "yes"
         rows.append(
             [
                 role.name,
                 "control" if role.control else "data",
                 label,
                 "" if worst is None else _format_budget_ratio(worst),
-                exists,
+                can_exist,
                 role.breaks,
             ]
         )
@@ -193,9 +195,9 @@
 
 
 def ordered_control(store: Store) -> list[Role]:
-    """Control roles, first those that can't exist at full size, then by need over budget."""
-    chosen = [role for role in all_roles(Measured(store)) if role.control and not role.total]
-    return sorted(chosen, key=lambda role: (not role.impossible, -_worst_budget_ratio(role)))
+    """Return the control roles: first those that can't exist at the design size, then by need over budget."""
+    control_roles = [role for role in all_roles(Measured(store)) if role.control and not role.total]
+    return sorted(control_roles, key=lambda role: (not role.impossible, -_worst_budget_ratio(role)))
 
 
 def _worst_budget_ratio(role: Role) -> float:
@@ -203,25 +205,25 @@
 
 
 def first_block(store: Store) -> list[str]:
-    """Which control role is first, and which roles of the data are over theirs."""
-    ranked = [r for r in ordered_control(store) if r.worst is not None]
-    first = next(role for role in ranked if role.impossible)
-    worst = max(ranked, key=_worst_budget_ratio)
+    """Return which control role needs work first, and which data roles exceed their budgets."""
+    ranked_roles = [r for r in ordered_control(store) if r.worst is not None]
+    first = next(role for role in ranked_roles if role.impossible)
+    worst = max(ranked_roles, key=_worst_budget_ratio)
     lines = [
         f"First is what carries **{first.name}**: {first.impossible}. Today: {first.mechanism}."
         f" Its worst need is {format_rounded(_worst_budget_ratio(first))} times its budget ({first.worst.what if first.worst else ''}).",
         f"The largest need over budget of any control role is that of {worst.name}: {format_rounded(_worst_budget_ratio(worst))} times"
         f" ({worst.worst.what if worst.worst else ''}).",
         "Control roles in this order: " + ", ".join(
-            f"{r.name} ({'can not exist; ' if r.impossible else ''}{format_rounded(_worst_budget_ratio(r))})" for r in ranked) + ".",
+            f"{r.name} ({'can not exist; ' if r.impossible else ''}{format_rounded(_worst_budget_ratio(r))})" for r in ranked_roles) + ".",
     ]  # fmt: skip
     data = [r for r in all_roles(Measured(store)) if not r.control and _worst_budget_ratio(r) > 1]
     if data:
-        budget_ratio = ", ".join(
+        exceeding_roles = ", ".join(
             f"{r.name} ({format_rounded(_worst_budget_ratio(r))}, {r.worst.what})" for r in data if r.worst
         )
         lines.append(
-            f"Over what one process has, of the data: {budget_ratio}. These are not control's budget."
+            f"Over what one process has, of the data: {exceeding_roles}. These are not control's budget."
         )
     return lines
 
@@ -238,19 +240,19 @@
 
 
 def blocks(store: Store) -> dict[str, str]:
-    """The text of every generated block."""
+    """Return the text of every generated block by name."""
     return {name: "\n".join(write(store)) + "\n" for name, write in BLOCKS.items()}
 
 
 def with_current_blocks(text: str, store: Store) -> str:
-    """The page with its blocks renewed. Raises PageError where blocks and writers differ."""
+    """Return the page's text with current blocks. Raises PageError if it has other blocks than `BLOCKS`."""
     written = blocks(store)
-    found = [match[2] for match in BLOCK_PATTERN.finditer(text)]
-    if sorted(found) != sorted(written):
-        raise PageError(f"the page has the blocks {found}, expected {sorted(written)}")
+    block_names = [match[2] for match in BLOCK_PATTERN.finditer(text)]
+    if sorted(block_names) != sorted(written):
+        raise PageError(f"the page has the blocks {block_names}, expected {sorted(written)}")
     return BLOCK_PATTERN.sub(lambda match: match[1] + written[match[2]] + match[3], text)
 
 
 def update_page(store: Store, path: Path = PAGE) -> None:
-    """Renew the page's generated blocks, and nothing else of it."""
+    """Update the generated blocks of the page and nothing else."""
     path.write_text(with_current_blocks(path.read_text(), store))
