--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Slopes are recovered where they are known, and refused where they don't predict."""
+"""Fits recover known slopes and reject those that mispredict the largest size; the pages match the stored data."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("form", Form)
-def test_a_known_form_is_recovered_with_its_base_and_slope(form: Form) -> None:
+def test_fit_recovers_a_known_form_with_its_base_and_slope(form: Form) -> None:
     found = judge(series(lambda n: 30.0 + 2.0 * GROWTH[form](n)))
     assert found.fit.form is form
     assert found.counts
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("form", [Form.LINEAR, Form.N_LOG_N, Form.SQUARE])
-def test_some_noise_leaves_a_form_that_counts_and_a_range_around_the_truth(form: Form) -> None:
+def test_with_some_noise_the_slope_counts_and_its_range_contains_the_truth(form: Form) -> None:
     def truth(n: float) -> float:
         return 0.5 + 2.0 * GROWTH[form](n)
 
@@ -65,18 +65,18 @@
     assert found.predicted == pytest.approx(810.0)
 
 
-def test_a_size_at_which_a_budget_is_spent() -> None:
+def test_the_size_at_which_a_cost_reaches_a_budget() -> None:
     found = fit(series(lambda n: 100.0 + 2.0 * n), Form.LINEAR)
     assert found.size_at(6000.0) == pytest.approx(2950.0, rel=0.002)
     assert fit(series(lambda n: 7.0), Form.CONSTANT).size_at(8.0) == math.inf
 
 
-def test_three_sizes_are_no_slope() -> None:
+def test_three_sizes_are_too_few_for_a_slope() -> None:
     with pytest.raises(FitError):
         judge(series(lambda n: n, SIZES[:3]))
 
 
-def test_the_page_says_what_the_stored_figures_say() -> None:
+def test_the_page_matches_the_stored_figures() -> None:
     store, text = load(), page.PAGE.read_text()
     assert store.series
     assert store.figures
@@ -91,13 +91,13 @@
     assert page.with_current_blocks(page.PAGE.read_text(), store) != page.PAGE.read_text()
 
 
-def test_a_page_without_one_of_its_blocks_is_refused() -> None:
+def test_a_page_without_one_of_its_blocks_is_rejected() -> None:
     text = page.PAGE.read_text().replace("<!-- generated: summary -->\n", "")
     with pytest.raises(page.PageError):
         page.with_current_blocks(text, load())
 
 
-def test_a_slope_that_does_not_count_is_not_carried_to_full_size() -> None:
+def test_a_slope_that_does_not_count_is_not_extrapolated() -> None:
     steep = Series(
         "steep", "", "members", "B", [*series(lambda n: 10.0 + n, SIZES[:-1]), Point(800, 2e3, 2e3, 2e3)]
     )
@@ -111,7 +111,7 @@
     assert Measured(Store({"steep": steep})).size_at_budget("steep", 260.0) == 250.0
 
 
-def test_the_large_fleets_page_is_read_whole_or_refused() -> None:
+def test_the_large_fleets_page_is_read_completely_or_rejected() -> None:
     text = scale_figures.PAGE.read_text()
     found = {figure.name: figure for figure in scale_figures.figures(text)}
     assert set(found) == set(scale_figures.TITLES.values())
