--- a/benchmarks/capacity/connections.py
+++ b/benchmarks/capacity/connections.py
@@ -45,8 +45,8 @@
 
 def settings(front: str, servers: list[peers.Address]) -> dict[str, Any]:
     """Return the configuration of a relay with one front at its defaults."""
-    rows = [{"id": f"server-{n}", "addr": f"{host}:{port}"} for n, (host, port) in enumerate(servers)]
-    config: dict[str, Any] = {"front": front, "servers": rows, "sockets": RELAY_DESCRIPTORS}
+    server_rows = [{"id": f"server-{n}", "addr": f"{host}:{port}"} for n, (host, port) in enumerate(servers)]
+    config: dict[str, Any] = {"front": front, "servers": server_rows, "sockets": RELAY_DESCRIPTORS}
     if front == "nats":
         config["tenants"] = [{"name": "club", "class": "checkin", "users": ["*"]}]
     return config
@@ -65,23 +65,26 @@
 
 
 async def _measure_phases(front: Any, count: int, relay: Relay, standing: set[peers.Server]) -> Cost:
-    idle = relay.resident_bytes()
-    before, began = relay.processor_seconds(), time.monotonic()
+    idle_memory = relay.resident_bytes()
+    processor_before, began = relay.processor_seconds(), time.monotonic()
     clients = await peers.connect_clients(front.client, relay.address, count, CONCURRENT_OPENINGS)
-    took, opening = time.monotonic() - began, relay.processor_seconds() - before
+    opening_seconds, opening_processor = (
+        time.monotonic() - began,
+        relay.processor_seconds() - processor_before,
+    )
     await asyncio.sleep(SETTLE_SECONDS)
-    before, began = relay.processor_seconds(), time.monotonic()
+    processor_before, began = relay.processor_seconds(), time.monotonic()
     await asyncio.sleep(REST_SECONDS)
-    resting = (relay.processor_seconds() - before) / (time.monotonic() - began)
-    memory = relay.resident_bytes() - idle
-    before, began = relay.processor_seconds(), time.monotonic()
+    resting = (relay.processor_seconds() - processor_before) / (time.monotonic() - began)
+    memory = relay.resident_bytes() - idle_memory
+    processor_before, began = relay.processor_seconds(), time.monotonic()
     sent = await _deliver(standing)
-    spent = relay.processor_seconds() - before - resting * (time.monotonic() - began)
+    delivery_processor = relay.processor_seconds() - processor_before - resting * (time.monotonic() - began)
     arrived = sum(client.messages for client in clients)
     for client in clients:
         client.transport.abort()
     return Cost(
-        count / took, opening / count * 1e6, resting * 1e6, float(memory), max(0.0, spent) / sent * 1e6,
+        count / opening_seconds, opening_processor / count * 1e6, resting * 1e6, float(memory), max(0.0, delivery_processor) / sent * 1e6,
         arrived / sent,
     )  # fmt: skip
 
@@ -90,12 +93,17 @@
     """Send every connection its messages, spread over each second, and return the number sent."""
     loop, began, sent = asyncio.get_running_loop(), asyncio.get_running_loop().time(), 0
     connections = list(standing)
-    for turn in range(int(DELIVERY_SECONDS * SLICES_PER_SECOND)):
-        for server in connections[turn % SLICES_PER_SECOND :: SLICES_PER_SECOND]:
+    for slice_number in range(int(DELIVERY_SECONDS * SLICES_PER_SECOND)):
+        for server in connections[slice_number % SLICES_PER_SECOND :: SLICES_PER_SECOND]:
             server.deliver()
             sent += 1
         await asyncio.sleep(
-            max(0.0, began + (turn + 1) / SLICES_PER_SECOND / DELIVERIES_PER_CONNECTION_SECOND - loop.time())
+            max(
+                0.0,
+                began
+                + (slice_number + 1) / SLICES_PER_SECOND / DELIVERIES_PER_CONNECTION_SECOND
+                - loop.time(),
+            )
         )
     await asyncio.sleep(SETTLE_SECONDS)
     return sent
