--- a/benchmarks/capacity/control_slopes.py
+++ b/benchmarks/capacity/control_slopes.py
@@ -65,7 +65,7 @@
         entries = tuple(_entry(n) for n in range(count))
         shared, stamps = _full_map(entries), itertools.count(2)
 
-        def put_one(shared: SharedMap = shared, stamps: itertools.count[int] = stamps) -> None:
+        def put_value(shared: SharedMap = shared, stamps: itertools.count[int] = stamps) -> None:
             shared.put("ban:10.0.0.1:9001", NOW_MS, NOW_MS + next(stamps), 5_600)
 
         def merge_known(shared: SharedMap = shared, entries: tuple[m.MapEntry, ...] = entries) -> None:
@@ -77,7 +77,7 @@
         calls = max(2, 8_192 // count)
         known.append(point(count, [us_per_call(merge_known, calls) for _ in range(rounds)]))
         new.append(point(count, [us_per_call(merge_new, calls) for _ in range(rounds)]))
-        put.append(point(count, [us_per_call(put_one, CALLS_PER_ROUND) for _ in range(rounds)]))
+        put.append(point(count, [us_per_call(put_value, CALLS_PER_ROUND) for _ in range(rounds)]))
         size.append(point(count, [float(len(m.encode(entries)))]))
         tracemalloc.start()
         held_map = _full_map(
@@ -131,7 +131,7 @@
 
 def server_list(sizes: Iterable[int], rounds: int) -> list[Series]:
     """Measure parsing a complete list from discovery, its bytes, and parsing a change of one server."""
-    whole = list[Point]()
+    complete = list[Point]()
     change = list[Point]()
     size = list[Point]()
     for count in sizes:
@@ -144,11 +144,11 @@
             return directory.apply_list(orjson.loads(body))
 
         calls = max(2, 4_096 // count)
-        whole.append(point(count, [us_per_call(lambda: read(body), calls) for _ in range(rounds)]))  # noqa: B023
+        complete.append(point(count, [us_per_call(lambda: read(body), calls) for _ in range(rounds)]))  # noqa: B023
         change.append(point(count, [us_per_call(lambda: read(diff), CALLS_PER_ROUND) for _ in range(rounds)]))  # noqa: B023
         size.append(point(count, [float(len(body))]))
     return [
-        Series("list_read", "the whole list parsed", "servers", "us", whole),
+        Series("list_read", "the whole list parsed", "servers", "us", complete),
         Series("list_read_change", "a change of one server parsed", "servers", "us", change),
         Series("list_bytes", "the whole list in one answer", "servers", "B", size),
     ]
@@ -164,8 +164,8 @@
             async with Relay(Path(folder), {"servers": servers, "console": f"{CONSOLE_HOST}:0"}) as relay:
                 for path, points in (("/healthcheck", health), ("/stats", stats)):
                     await call_console(relay.console, path)
-                    found = [await _timed_calls(relay, path) for _ in range(rounds)]
-                    points.append(point(count, found))
+                    results = [await _timed_calls(relay, path) for _ in range(rounds)]
+                    points.append(point(count, results))
     return [
         Series("console_health", "GET /healthcheck, the relay's processor", "servers", "us", health),
         Series("console_stats", "GET /stats, the relay's processor", "servers", "us", stats),
