--- a/benchmarks/capacity/fits.py
+++ b/benchmarks/capacity/fits.py
@@ -118,7 +118,7 @@
 
     def range_at(self, size: float) -> tuple[float, float]:
         """Return the lowest and highest cost by the chosen fit and all accepted ones."""
-        costs = [one.at(size) for one in (self.fit, *self.accepted_fits)]
+        costs = [candidate.at(size) for candidate in (self.fit, *self.accepted_fits)]
         return min(costs), max(costs)
 
 
@@ -128,17 +128,17 @@
     if len({point.size for point in ordered}) < MIN_SIZES:
         raise FitError(f"a slope takes {MIN_SIZES} sizes or more")
     smaller, largest = ordered[:-1], ordered[-1]
-    fits_without_largest = {one: fit(smaller, one) for one in ([form] if form else Form)}
+    fits_without_largest = {candidate: fit(smaller, candidate) for candidate in ([form] if form else Form)}
     best = next(iter(fits_without_largest.values()))
-    for one in fits_without_largest.values():
-        if one.residual < best.residual - MIN_RESIDUAL_GAIN:
-            best = one
-    accepted_fits = [
+    for candidate in fits_without_largest.values():
+        if candidate.residual < best.residual - MIN_RESIDUAL_GAIN:
+            best = candidate
+    accepted_forms = [
         f
-        for f, one in fits_without_largest.items()
-        if abs(one.at(largest.size) / largest.value - 1) <= MAX_PREDICTION_ERROR
+        for f, candidate in fits_without_largest.items()
+        if abs(candidate.at(largest.size) / largest.value - 1) <= MAX_PREDICTION_ERROR
     ]
     return Verdict(
         fit(ordered, best.form), best.at(largest.size), largest.value,
-        tuple(fit(ordered, one) for one in accepted_fits),
+        tuple(fit(ordered, candidate) for candidate in accepted_forms),
     )  # fmt: skip
