--- a/benchmarks/capacity/fleet_slopes.py
+++ b/benchmarks/capacity/fleet_slopes.py
@@ -72,9 +72,9 @@
 
     `rest_fraction` is `EVENT_SECONDS` relative to the duration of the measurement at rest.
     """
-    spent = measure_usage(world, EVENT_SECONDS)
-    volume = spent.datagrams + spent.calls - rest_fraction * (rest.datagrams + rest.calls)
-    return max(0.0, volume) / size, max(0.0, spent.processor - rest_fraction * rest.processor) / size * 1e3
+    used = measure_usage(world, EVENT_SECONDS)
+    volume = used.datagrams + used.calls - rest_fraction * (rest.datagrams + rest.calls)
+    return max(0.0, volume) / size, max(0.0, used.processor - rest_fraction * rest.processor) / size * 1e3
 
 
 def measure_one(job: tuple[int, int]) -> Cost:
@@ -125,8 +125,8 @@
 
 def measure(quick: bool) -> list[Series | Figure]:
     """Return all series by number of members."""
-    runs = QUICK_SEEDS_BY_SIZE if quick else SEEDS_BY_SIZE
-    jobs = [(size, seed) for size in sorted(runs, reverse=True) for seed in range(1, runs[size] + 1)]
+    seeds = QUICK_SEEDS_BY_SIZE if quick else SEEDS_BY_SIZE
+    jobs = [(size, seed) for size in sorted(seeds, reverse=True) for seed in range(1, seeds[size] + 1)]
     context = multiprocessing.get_context("spawn")  # so that memory is measured in a fresh process
     with ProcessPoolExecutor(WORKER_PROCESSES, mp_context=context, max_tasks_per_child=1) as pool:
         founded = None if quick else pool.submit(fleet_view.traffic, FOUNDED_MEMBERS)
@@ -135,10 +135,10 @@
         costs = list(pool.map(measure_one, jobs))
     results: list[Series | Figure] = []
     for name, title, unit, value in COST_SERIES:
-        points: list[Point] = [point(n, [value(c) for c in costs if c.size == n]) for n in sorted(runs)]
+        points: list[Point] = [point(n, [value(c) for c in costs if c.size == n]) for n in sorted(seeds)]
         results.append(Series(name, title, "members", unit, points))
-    held = [point(size, [value]) for size, value in zip(sizes, memory, strict=True)]
-    results.append(Series("view_memory", "a member's state", "members", "B", held))
+    memory_points = [point(size, [value]) for size, value in zip(sizes, memory, strict=True)]
+    results.append(Series("view_memory", "a member's state", "members", "B", memory_points))
     if founded is not None:
         out = founded.result()[1]
         taken_up = next(c for c in costs if c.size == FOUNDED_MEMBERS).rest_datagrams / 2
