--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -77,16 +77,16 @@
 async def _measure_at_rest(seconds: float, count: int, processor: Callable[[], float]) -> tuple[float, float]:
     """Return bytes per member and second, sent and received together, and the fraction of a core per member."""
     await asyncio.sleep(SETTLE_SECONDS)
-    volume, spent, began = quiet_net.bytes_on_loopback(), processor(), time.monotonic()
+    volume, processor_before, began = quiet_net.bytes_on_loopback(), processor(), time.monotonic()
     await asyncio.sleep(seconds)
-    took = time.monotonic() - began
+    elapsed = time.monotonic() - began
     volume = quiet_net.bytes_on_loopback() - volume
-    return 2 * volume / count / took, (processor() - spent) / count / took
+    return 2 * volume / count / elapsed, (processor() - processor_before) / count / elapsed
 
 
 async def hollow(count: int, seconds: float) -> Cost:
     """Measure `count` hollow members in this process."""
-    before = rss_kib()
+    memory_before_kib = rss_kib()
     fleets = [FleetEndpoint(_node_config(n, count), (_host(n), PORT), KEY) for n in range(count)]
     for fleet in fleets:
         fleet.start()
@@ -95,12 +95,12 @@
         return all(f.view is not None and len(f.view.members) == count and f.may_act() for f in fleets)
 
     await _wait_until(settled, "hollow relays")
-    volume, part = await _measure_at_rest(seconds, count, time.process_time)
-    memory = (rss_kib() - before) * 1024 / count
+    volume, core_fraction = await _measure_at_rest(seconds, count, time.process_time)
+    memory = (rss_kib() - memory_before_kib) * 1024 / count
     for fleet in fleets:
         fleet.stop()
     await asyncio.gather(*(t for f in fleets for t in f.tasks), return_exceptions=True)
-    return Cost(volume, part, memory)
+    return Cost(volume, core_fraction, memory)
 
 
 def _settings(number: int, count: int, with_fleet: bool) -> dict[str, Any]:
@@ -125,7 +125,7 @@
 
         async def settled() -> bool:
             statuses = [orjson.loads(await call_console(relay.console, "/fleet")) for relay in relays]
-            return all(one["size"] == count and one["may_act"] for one in statuses)
+            return all(status["size"] == count and status["may_act"] for status in statuses)
 
         if with_fleet:
             await _wait_until(settled, "real relays")
@@ -133,8 +133,8 @@
         def processor() -> float:
             return sum(relay.processor_seconds() for relay in relays)
 
-        volume, part = await _measure_at_rest(seconds, count, processor)
-        return Cost(volume, part, sum(relay.resident_bytes() for relay in relays) / count)
+        volume, core_fraction = await _measure_at_rest(seconds, count, processor)
+        return Cost(volume, core_fraction, sum(relay.resident_bytes() for relay in relays) / count)
 
 
 def virtual(count: int) -> Cost:
@@ -182,7 +182,7 @@
     count = QUICK_RELAY_COUNT if quick else RELAY_COUNT
     results: list[Series | Figure] = []
     for kind in ("hollow", "real", "bare", "virtual"):
-        costs: list[Cost] = [getattr(one, kind) for one in rounds]
+        costs: list[Cost] = [getattr(round_result, kind) for round_result in rounds]
         rows = (
             ("bytes", "B/s", [c.volume for c in costs]),
             ("processor", "us/s", [c.processor * 1e6 for c in costs]),
@@ -207,7 +207,9 @@
         "ratio_virtual_processor": "processor of the fleet's part, real over virtual time",
         "ratio_memory": "memory of the fleet's part, real over hollow",
     }
-    results += [_figure(n, titles[n], "", [of(one) for one in rounds]) for n, of in ratios.items()]
+    results += [
+        _figure(n, titles[n], "", [of(round_result) for round_result in rounds]) for n, of in ratios.items()
+    ]
     return results
 
 
