--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -67,8 +67,8 @@
             self._count_call(answer, 0)
         super()._answered(host, life, number, answer, refused)
 
-    def _count_call(self, message: m.Request | m.Response, fixed: int) -> None:
-        size = data_bytes_on_wire(len(m.encode(message))) + fixed
+    def _count_call(self, message: m.Request | m.Response, fixed_bytes: int) -> None:
+        size = data_bytes_on_wire(len(m.encode(message))) + fixed_bytes
         self.call_bytes += size
         self.call_bytes_by_message[type(message).__name__] += size
 
