--- a/benchmarks/capacity/module_slopes.py
+++ b/benchmarks/capacity/module_slopes.py
@@ -102,12 +102,12 @@
 
 
 def _steps(driver: BalancerDriver) -> dict[str, Callable[[], object]]:
-    known, new_groups = itertools.cycle(range(GROUPS)), itertools.count(GROUPS)
+    known_groups, new_groups = itertools.cycle(range(GROUPS)), itertools.count(GROUPS)
     for group in range(GROUPS):
         driver.balancer.groups.server_order(group)
     return {
         "module_arrival": _arrival_step(driver, None),
-        "module_arrival_group": _arrival_step(driver, known),
+        "module_arrival_group": _arrival_step(driver, known_groups),
         "module_arrival_new_group": _arrival_step(driver, new_groups),
         "module_tick": driver.tick,
         "module_change": driver.update_server,
