--- a/benchmarks/capacity/moment_slopes.py
+++ b/benchmarks/capacity/moment_slopes.py
@@ -47,22 +47,22 @@
     rest = measure_usage(world, REST_SECONDS)
     members = hosts.member_names(size)
 
-    def extra() -> float:
+    def measure_extra_bytes() -> float:
         return measure_extra_usage(world, size, rest, EVENT_SECONDS / REST_SECONDS)[0]
 
     cut_off_members = members[-max(1, round(size * LOST_FLEET_SHARE["region"])) :]
     world.set_links(cut_off_members, members[: -len(cut_off_members)], cut=True)
-    region_cut = extra()
+    region_cut = measure_extra_bytes()
     world.heal()
-    region_healed = extra()
-    next_lost, found = size // 2, dict[str, float]()
-    for moment in ("rack", "zone"):
-        count = max(1, round(size * LOST_FLEET_SHARE[moment]))
+    region_healed = measure_extra_bytes()
+    next_lost, extra_bytes = size // 2, dict[str, float]()
+    for event in ("rack", "zone"):
+        count = max(1, round(size * LOST_FLEET_SHARE[event]))
         for name in members[next_lost : next_lost + count]:
             world.kill(name)
         next_lost += count
-        found[moment] = extra()
-    return Cost(size, found["rack"], found["zone"], region_cut, region_healed)
+        extra_bytes[event] = measure_extra_bytes()
+    return Cost(size, extra_bytes["rack"], extra_bytes["zone"], region_cut, region_healed)
 
 
 COST_SERIES = (
@@ -75,14 +75,14 @@
 
 def measure(quick: bool) -> list[Series | Figure]:
     """Return the cost of each event by number of members."""
-    runs = QUICK_SEEDS_BY_SIZE if quick else SEEDS_BY_SIZE
-    jobs = [(size, seed) for size in sorted(runs, reverse=True) for seed in range(1, runs[size] + 1)]
+    seeds = QUICK_SEEDS_BY_SIZE if quick else SEEDS_BY_SIZE
+    jobs = [(size, seed) for size in sorted(seeds, reverse=True) for seed in range(1, seeds[size] + 1)]
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(WORKER_PROCESSES, mp_context=context, max_tasks_per_child=1) as pool:
         costs = list(pool.map(measure_one, jobs))
-    found: list[Series | Figure] = []
+    results: list[Series | Figure] = []
     for name, title in COST_SERIES:
-        points = [point(n, [getattr(c, name) for c in costs if c.size == n]) for n in sorted(runs)]
-        shown = f"{title}: each member beyond rest, in the {EVENT_SECONDS:g} s that follow"
-        found.append(Series(f"moment_{name}", shown, "members", "B", points))
-    return found
+        points = [point(n, [getattr(c, name) for c in costs if c.size == n]) for n in sorted(seeds)]
+        full_title = f"{title}: each member beyond rest, in the {EVENT_SECONDS:g} s that follow"
+        results.append(Series(f"moment_{name}", full_title, "members", "B", points))
+    return results
