--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -24,8 +24,8 @@
 
 def table(columns: list[str], rows: list[list[str]]) -> list[str]:
     """Return the lines of a Markdown table."""
-    cells = [columns, ["---"] * len(columns), *rows]
-    return ["| " + " | ".join(one) + " |" for one in cells]
+    table_rows = [columns, ["---"] * len(columns), *rows]
+    return ["| " + " | ".join(row_cells) + " |" for row_cells in table_rows]
 
 
 def size_block(store: Store) -> list[str]:
@@ -51,24 +51,24 @@
     """Return how many results come from each command, revision and machine."""
     counts_by_source: dict[tuple[str, str, str], int] = {}
     results: list[Series | Figure] = [*store.series.values(), *store.figures.values()]
-    for one in results:
-        key = one.command, one.revision, one.measured_on
+    for result in results:
+        key = result.command, result.revision, result.measured_on
         counts_by_source[key] = counts_by_source.get(key, 0) + 1
     rows = [[f"`{c}`", f"`{r}`", on, str(count)] for (c, r, on), count in sorted(counts_by_source.items())]
     return table(["command", "revision", "machine", "series and figures"], rows)
 
 
-def _point(one: Point) -> str:
+def _point(measured: Point) -> str:
     value_range = (
         ""
-        if one.runs == 1
-        else f" ({format_rounded(one.low)} to {format_rounded(one.high)}, {one.runs} runs)"
+        if measured.runs == 1
+        else f" ({format_rounded(measured.low)} to {format_rounded(measured.high)}, {measured.runs} runs)"
     )
-    return f"{format_exact(one.size)}: {format_rounded(one.value)}{value_range}"
+    return f"{format_exact(measured.size)}: {format_rounded(measured.value)}{value_range}"
 
 
 def _slope_row(series: Series) -> list[str]:
-    shown = "; ".join(_point(one) for one in series.points)
+    shown = "; ".join(_point(measured) for measured in series.points)
     first_cells = [f"`{series.name}`", series.title, series.unit, shown]
     try:
         verdict = judge(series.points)
@@ -95,27 +95,32 @@
         "counts",
     ]
     lines: list[str] = []
-    for counted in sorted({one.counted for one in store.series.values()}):
-        series_of_size = [one for one in store.series.values() if one.counted == counted]
-        lines += [f"By {counted}:", "", *table(columns, [_slope_row(one) for one in series_of_size]), ""]
+    for counted in sorted({series.counted for series in store.series.values()}):
+        matching_series = [series for series in store.series.values() if series.counted == counted]
+        lines += [
+            f"By {counted}:",
+            "",
+            *table(columns, [_slope_row(series) for series in matching_series]),
+            "",
+        ]
     return lines[:-1]
 
 
 def hollow_block(store: Store) -> list[str]:
     """Return the single figures, and whether hollow and virtual relays match real ones."""
     rows = [
-        [f"`{one.name}`", one.title, f"{format_rounded(one.value)} {one.unit}", f"{format_rounded(one.low)} to {format_rounded(one.high)}",
-         str(one.runs), f"`{one.command}` at `{one.revision}`"]
-        for one in store.figures.values()
+        [f"`{result.name}`", result.title, f"{format_rounded(result.value)} {result.unit}", f"{format_rounded(result.low)} to {format_rounded(result.high)}",
+         str(result.runs), f"`{result.command}` at `{result.revision}`"]
+        for result in store.figures.values()
     ]  # fmt: skip
     lines = table(["figure", "what", "median", "range", "runs", "from"], rows)
     for name, label in (("ratio_bytes", "Hollow relays"), ("ratio_virtual_bytes", "Members in virtual time")):
-        if (one := store.figures.get(name)) is not None:
-            agrees = abs(one.value - 1) <= MAX_BYTES_DIFFERENCE
+        if (result := store.figures.get(name)) is not None:
+            agrees = abs(result.value - 1) <= MAX_BYTES_DIFFERENCE
             verdict = "within 10%" if agrees else "**not within 10%**"
             lines += [
                 "",
-                f"{label} move {format_rounded(one.value)} of the bytes of real processes: {verdict}.",
+                f"{label} move {format_rounded(result.value)} of the bytes of real processes: {verdict}.",
             ]
     return lines
 
@@ -140,7 +145,7 @@
     )
     budget = "" if row.budget is None else format_exact(row.budget)
     prefix = "at least " if need.kind is Kind.FLOOR else ""
-    origin = "; ".join(f"`{one}`" for one in sorted(need.sources)) or "code, settings"
+    origin = "; ".join(f"`{source}`" for source in sorted(need.sources)) or "code, settings"
     return [
         row.what, f"{prefix}{format_rounded(need.value)} {row.unit}".strip(), value_range, budget, _format_budget_ratio(row),
         need.kind.value, need.arithmetic, origin,
@@ -171,7 +176,7 @@
     rows = []
     for role in all_roles(Measured(store)):
         worst = role.worst
-        label = (
+        description = (
             ""
             if worst is None
             else f"{worst.what}: {format_rounded(worst.need.value)} {worst.unit}".strip()
@@ -182,7 +187,7 @@
             [
                 role.name,
                 "control" if role.control else "data",
-                label,
+                description,
                 "" if worst is None else _format_budget_ratio(worst),
                 can_exist,
                 role.breaks,
@@ -246,11 +251,11 @@
 
 def with_current_blocks(text: str, store: Store) -> str:
     """Return the page's text with current blocks. Raises PageError if it has other blocks than `BLOCKS`."""
-    written = blocks(store)
+    current_blocks = blocks(store)
     block_names = [match[2] for match in BLOCK_PATTERN.finditer(text)]
-    if sorted(block_names) != sorted(written):
-        raise PageError(f"the page has the blocks {block_names}, expected {sorted(written)}")
-    return BLOCK_PATTERN.sub(lambda match: match[1] + written[match[2]] + match[3], text)
+    if sorted(block_names) != sorted(current_blocks):
+        raise PageError(f"the page has the blocks {block_names}, expected {sorted(current_blocks)}")
+    return BLOCK_PATTERN.sub(lambda match: match[1] + current_blocks[match[2]] + match[3], text)
 
 
 def update_page(store: Store, path: Path = PAGE) -> None:
