--- a/benchmarks/capacity/peers.py
+++ b/benchmarks/capacity/peers.py
@@ -154,31 +154,35 @@
     name, server, client = "nats", NatsServer, NatsClient
 
 
-async def serve(kind: type[Server], standing: set[Server]) -> tuple[asyncio.Server, Address]:
+async def serve(server_type: type[Server], standing: set[Server]) -> tuple[asyncio.Server, Address]:
     """Listen as one server; return it with its address."""
-    server = await asyncio.get_running_loop().create_server(lambda: kind(standing), HOST, 0, backlog=1024)
+    server = await asyncio.get_running_loop().create_server(
+        lambda: server_type(standing), HOST, 0, backlog=1024
+    )
     host, port = server.sockets[0].getsockname()[:2]
     return server, (str(host), int(port))
 
 
-async def connect_clients(kind: type[Client], address: Address, count: int, at_once: int) -> list[Client]:
+async def connect_clients(
+    client_type: type[Client], address: Address, count: int, at_once: int
+) -> list[Client]:
     """Connect `count` clients, `at_once` at a time; a refused client retries, as real clients do.
 
     Raises ConnectionError if a client is refused too often, TimeoutError if an attempt gets no answer.
     """
     clients: list[Client] = []
 
-    async def connect_share(share: Iterable[int]) -> None:
-        for _ in share:
-            clients.append(await _connect_client(kind, address))
+    async def connect_share(client_numbers: Iterable[int]) -> None:
+        for _ in client_numbers:
+            clients.append(await _connect_client(client_type, address))
 
     await asyncio.gather(*(connect_share(range(n, count, at_once)) for n in range(at_once)))
     return clients
 
 
-async def _connect_client(kind: type[Client], address: Address) -> Client:
+async def _connect_client(client_type: type[Client], address: Address) -> Client:
     for attempt in range(MAX_ATTEMPTS):
-        _, client = await asyncio.get_running_loop().create_connection(kind, *address)
+        _, client = await asyncio.get_running_loop().create_connection(client_type, *address)
         try:
             async with asyncio.timeout(ESTABLISH_TIMEOUT_SECONDS):
                 await client.established
