--- a/benchmarks/capacity/processes.py
+++ b/benchmarks/capacity/processes.py
@@ -99,6 +99,6 @@
     async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
         reader, writer = await asyncio.open_connection(*address)
         writer.write(f"GET {path} HTTP/1.1\r\nHost: capacity\r\n\r\n".encode())
-        answer = await reader.read(-1)
+        response = await reader.read(-1)
         writer.close()
-        return answer.decode().partition("\r\n\r\n")[2]
+        return response.decode().partition("\r\n\r\n")[2]
