--- a/benchmarks/capacity/records.py
+++ b/benchmarks/capacity/records.py
@@ -58,12 +58,15 @@
     series: dict[str, Series] = {}
     figures: dict[str, Figure] = {}
 
-    def add(self, found: Iterable[Series | Figure], command: str, machine: str) -> None:
+    def add(self, results: Iterable[Series | Figure], command: str, machine: str) -> None:
         """Add the results of a part, with command and revision unless the results have their own."""
         revision = current_revision()
-        for one in found:
+        for result in results:
             attributed = msgspec.structs.replace(
-                one, command=one.command or command, revision=one.revision or revision, measured_on=machine
+                result,
+                command=result.command or command,
+                revision=result.revision or revision,
+                measured_on=machine,
             )
             if isinstance(attributed, Series):
                 self.series[attributed.name] = attributed
@@ -101,5 +104,5 @@
 
 def point(size: float, values: Iterable[float]) -> Point:
     """Summarize the values of one size's runs as a point."""
-    found = sorted(values)
-    return Point(size, statistics.median(found), found[0], found[-1], len(found))
+    ordered = sorted(values)
+    return Point(size, statistics.median(ordered), ordered[0], ordered[-1], len(ordered))
