--- a/benchmarks/capacity/control_slopes.py
+++ b/benchmarks/capacity/control_slopes.py
@@ -1,4 +1,4 @@
-"""What the shared map, owner look-ups, the watch on the server list and the operators' calls cost by size."""
+"""Cost of the shared map, owner lookups, the server list watch and the operators' calls, by size."""
 
 from __future__ import annotations
 
@@ -24,21 +24,19 @@
 
 ENTRIES, QUICK_ENTRIES = (64, 256, 1_024, 2_048, 4_096), (16, 32, 64, 128)
 MEMBERS, QUICK_MEMBERS = (50, 100, 200, 400, 1_000), (20, 40, 80, 160)
-# 1 MiB, the most that a relay reads of an answer, ends before 7,500
+# A relay reads at most 1 MiB of a response, which fewer than 7,500 servers fill.
 SERVERS, QUICK_SERVERS = (100, 300, 1_000, 3_000, 6_000), (50, 100, 200, 400)
-LISTED, QUICK_LISTED = (
-    (100, 500, 1_500, 5_000),
-    (50, 100, 200, 400),
-)  # on the list of the relay that is called
+# Servers on the list of the relay whose console is called.
+LISTED_SERVERS, QUICK_LISTED_SERVERS = (100, 500, 1_500, 5_000), (50, 100, 200, 400)
 ROUNDS, QUICK_ROUNDS = 5, 2
-CALLS = 200  # of one round of the cheap steps
+CALLS_PER_ROUND = 200  # for the steps that take little time
 CONSOLE_CALLS = 200
-HOLDERS = 3  # copies of a key
-NOW = 1.8e12  # Unix ms
+KEY_COPIES = 3  # members that hold a key
+NOW_MS = 1.8e12  # Unix time
 
 
-def timed(step: Callable[[], object], calls: int) -> float:
-    """Us of processor a call."""
+def us_per_call(step: Callable[[], object], calls: int) -> float:
+    """Return us of processor time per call."""
     began = time.process_time_ns()
     for _ in range(calls):
         step()
@@ -47,17 +45,17 @@
 
 def _entry(number: int, ms: int = 1) -> m.MapEntry:
     key = f"ban:10.{number >> 8}.{number & 255}.1:9001"
-    return m.MapEntry(key, m.HybridTimestamp(int(NOW) + ms, 0, "relay-00001"), NOW)
+    return m.MapEntry(key, m.HybridTimestamp(int(NOW_MS) + ms, 0, "relay-00001"), NOW_MS)
 
 
 def _full_map(entries: Iterable[m.MapEntry]) -> SharedMap:
     shared = SharedMap("relay-00000")
-    shared.merge(entries, NOW, 1)
+    shared.merge(entries, NOW_MS, 1)
     return shared
 
 
 def shared_map(sizes: Iterable[int], rounds: int) -> list[Series]:
-    """Merging a whole map that is known, one that is new, one put, and the bytes of an exchange."""
+    """Measure merging a known map, merging a new map, one put, and the bytes of an exchange and of the state."""
     known = list[Point]()
     new = list[Point]()
     put = list[Point]()
@@ -67,27 +65,27 @@
         entries = tuple(_entry(n) for n in range(count))
         shared, stamps = _full_map(entries), itertools.count(2)
 
-        def put_one(shared: SharedMap = shared, stamps: itertools.count[int] = stamps) -> None:
-            shared.put("ban:10.0.0.1:9001", NOW, NOW + next(stamps), 5_600)
+        def put_value(shared: SharedMap = shared, stamps: itertools.count[int] = stamps) -> None:
+            shared.put("ban:10.0.0.1:9001", NOW_MS, NOW_MS + next(stamps), 5_600)
 
         def merge_known(shared: SharedMap = shared, entries: tuple[m.MapEntry, ...] = entries) -> None:
-            shared.merge(entries, NOW, 5_600)
+            shared.merge(entries, NOW_MS, 5_600)
 
         def merge_new(entries: tuple[m.MapEntry, ...] = entries) -> None:
             _full_map(entries)
 
         calls = max(2, 8_192 // count)
-        known.append(point(count, [timed(merge_known, calls) for _ in range(rounds)]))
-        new.append(point(count, [timed(merge_new, calls) for _ in range(rounds)]))
-        put.append(point(count, [timed(put_one, CALLS) for _ in range(rounds)]))
+        known.append(point(count, [us_per_call(merge_known, calls) for _ in range(rounds)]))
+        new.append(point(count, [us_per_call(merge_new, calls) for _ in range(rounds)]))
+        put.append(point(count, [us_per_call(put_value, CALLS_PER_ROUND) for _ in range(rounds)]))
         size.append(point(count, [float(len(m.encode(entries)))]))
         tracemalloc.start()
-        kept = _full_map(
+        held_map = _full_map(
             m.MapEntry(e.key + "", e.timestamp, e.value) for e in (_entry(n) for n in range(count))
         )
         memory.append(point(count, [float(tracemalloc.get_traced_memory()[0])]))
         tracemalloc.stop()
-        assert len(kept.entries) == count
+        assert len(held_map.entries) == count
     return [
         Series("map_merge_known", "a map taken in that is known already", "entries", "us", known),
         Series("map_merge_new", "a map taken in that is all new", "entries", "us", new),
@@ -97,8 +95,8 @@
     ]
 
 
-def owners(sizes: Iterable[int], rounds: int) -> list[Series]:
-    """Whose a key is."""
+def owner_lookups(sizes: Iterable[int], rounds: int) -> list[Series]:
+    """Measure finding the owner and the holders of a key, and the bytes of the view."""
     owner = list[Point]()
     holders = list[Point]()
     encoded = list[Point]()
@@ -110,14 +108,16 @@
             view.owner(next(iter(keys)))
 
         def look_up_holders(view: View = view, keys: Iterable[str] = keys) -> None:
-            view.preference_list(next(iter(keys)), HOLDERS)
+            view.preference_list(next(iter(keys)), KEY_COPIES)
 
-        owner.append(point(count, [timed(look_up, CALLS // 4) for _ in range(rounds)]))
-        holders.append(point(count, [timed(look_up_holders, CALLS // 4) for _ in range(rounds)]))
+        owner.append(point(count, [us_per_call(look_up, CALLS_PER_ROUND // 4) for _ in range(rounds)]))
+        holders.append(
+            point(count, [us_per_call(look_up_holders, CALLS_PER_ROUND // 4) for _ in range(rounds)])
+        )
         encoded.append(point(count, [float(len(m.encode(view)))]))
     return [
         Series("owner_lookup", "whose a key is", "members", "us", owner),
-        Series("owner_holders", f"the {HOLDERS} members that hold a key", "members", "us", holders),
+        Series("owner_holders", f"the {KEY_COPIES} members that hold a key", "members", "us", holders),
         Series("view_bytes", "the view in one message", "members", "B", encoded),
     ]
 
@@ -125,37 +125,37 @@
 def _row(number: int) -> dict[str, object]:
     return {
         "id": f"gate-{number}", "addr": f"10.{number >> 8 & 255}.{number & 255}.1:9001", "zone": f"z{number % 24}",
-        "kind": "k", "cell": 0, "state": "up", "weight": 1.0, "started_ms": int(NOW),
+        "kind": "k", "cell": 0, "state": "up", "weight": 1.0, "started_ms": int(NOW_MS),
     }  # fmt: skip
 
 
 def server_list(sizes: Iterable[int], rounds: int) -> list[Series]:
-    """Reading a whole list as discovery tells it, its bytes, and a change of one server."""
-    whole = list[Point]()
+    """Measure parsing a complete list from discovery, its bytes, and parsing a change of one server."""
+    complete = list[Point]()
     change = list[Point]()
     size = list[Point]()
     for count in sizes:
-        told = {"version": 1, "full": True, "servers": [_row(n) for n in range(count)]}
-        body = json.dumps(told).encode()
-        one = json.dumps({"version": 2, "full": False, "servers": [_row(0)]}).encode()
+        listing = {"version": 1, "full": True, "servers": [_row(n) for n in range(count)]}
+        body = json.dumps(listing).encode()
+        diff = json.dumps({"version": 2, "full": False, "servers": [_row(0)]}).encode()
         directory = ServerDirectory()
 
         def read(body: bytes, directory: ServerDirectory = directory) -> ServerListUpdate:
             return directory.apply_list(orjson.loads(body))
 
         calls = max(2, 4_096 // count)
-        whole.append(point(count, [timed(lambda: read(body), calls) for _ in range(rounds)]))  # noqa: B023
-        change.append(point(count, [timed(lambda: read(one), CALLS) for _ in range(rounds)]))  # noqa: B023
+        complete.append(point(count, [us_per_call(lambda: read(body), calls) for _ in range(rounds)]))  # noqa: B023
+        change.append(point(count, [us_per_call(lambda: read(diff), CALLS_PER_ROUND) for _ in range(rounds)]))  # noqa: B023
         size.append(point(count, [float(len(body))]))
     return [
-        Series("list_read", "the whole list parsed", "servers", "us", whole),
+        Series("list_read", "the whole list parsed", "servers", "us", complete),
         Series("list_read_change", "a change of one server parsed", "servers", "us", change),
         Series("list_bytes", "the whole list in one answer", "servers", "B", size),
     ]
 
 
 async def _console(sizes: Iterable[int], rounds: int) -> list[Series]:
-    """Calls of a real relay's console, by the servers on its list."""
+    """Measure calls of a real relay's console by the servers on its list."""
     health = list[Point]()
     stats = list[Point]()
     for count in sizes:
@@ -164,8 +164,8 @@
             async with Relay(Path(folder), {"servers": servers, "console": f"{CONSOLE_HOST}:0"}) as relay:
                 for path, points in (("/healthcheck", health), ("/stats", stats)):
                     await call_console(relay.console, path)
-                    found = [await _timed_calls(relay, path) for _ in range(rounds)]
-                    points.append(point(count, found))
+                    results = [await _timed_calls(relay, path) for _ in range(rounds)]
+                    points.append(point(count, results))
     return [
         Series("console_health", "GET /healthcheck, the relay's processor", "servers", "us", health),
         Series("console_stats", "GET /stats, the relay's processor", "servers", "us", stats),
@@ -173,18 +173,18 @@
 
 
 async def _timed_calls(relay: Relay, path: str) -> float:
-    before = relay.processor()
+    before = relay.processor_seconds()
     for _ in range(CONSOLE_CALLS):
         await call_console(relay.console, path)
-    return (relay.processor() - before) / CONSOLE_CALLS * 1e6
+    return (relay.processor_seconds() - before) / CONSOLE_CALLS * 1e6
 
 
 def measure(quick: bool) -> list[Series | Figure]:
-    """All series of control work other than the fleet's view."""
+    """Return all series of control work except the fleet's view."""
     rounds = QUICK_ROUNDS if quick else ROUNDS
     return [
         *shared_map(QUICK_ENTRIES if quick else ENTRIES, rounds),
-        *owners(QUICK_MEMBERS if quick else MEMBERS, rounds),
+        *owner_lookups(QUICK_MEMBERS if quick else MEMBERS, rounds),
         *server_list(QUICK_SERVERS if quick else SERVERS, rounds),
-        *asyncio.run(_console(QUICK_LISTED if quick else LISTED, rounds)),
+        *asyncio.run(_console(QUICK_LISTED_SERVERS if quick else LISTED_SERVERS, rounds)),
     ]
--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -1,8 +1,8 @@
-"""Fleets in virtual time that stand at one view from the start, with all bytes counted.
+"""Fleets in virtual time whose members share one view from the start, with all bytes counted.
 
-The only place that uses names of `violetdoor.fleet` and `violetdoor.faults.virtual` for the slopes. Founding a
-large fleet takes minutes of processor time, so members take up a state that a process hands over in an
-upgrade, and settle within seconds.
+Founding a large fleet takes minutes of processor time, so members import the state that a process hands over in an
+upgrade, and settle within seconds. Among the measurements of slopes, only this module uses the internals of
+`violetdoor.fleet` and `violetdoor.faults.virtual`.
 """
 
 from __future__ import annotations
@@ -21,32 +21,32 @@
 
 PORT = 7946
 ZONES = 24
-SETTLE_WITHIN = 30.0  # virtual s
+SETTLE_TIMEOUT_SECONDS = 30.0  # in virtual time
 
-# Of one call over TCP, both directions: SYN, SYN-ACK and ACK, four parts of data and their acknowledgements, FIN
-# and ACK of each side, 52 bytes of IPv4 and TCP with timestamps each and 8 more in the two SYNs; two random
-# numbers of 16 bytes, two lengths of 4 and two seals. Reckoned; the part `hollow` holds it against real ones.
-SEGMENTS = 3 + 8 + 4
-SEGMENT_HEADER = 52
-SEGMENT_BODY = 1448  # bytes of data in one Ethernet frame
-CALL_FIXED = SEGMENTS * SEGMENT_HEADER + 2 * 8 + 2 * 16 + 2 * 4 + 2 * TAG_BYTES
+# One call over TCP, both directions: SYN, SYN-ACK and ACK; four data segments and their acknowledgements; FIN and
+# ACK of each side. Each segment has 52 bytes of IPv4 and TCP headers with timestamps, the two SYNs 8 more. The
+# data holds two nonces of 16 bytes, two lengths of 4 and two tags. The part `hollow` checks this against real calls.
+SEGMENTS_PER_CALL = 3 + 8 + 4
+SEGMENT_HEADER_BYTES = 52
+SEGMENT_BODY_BYTES = 1448  # data in one Ethernet frame
+FIXED_CALL_BYTES = SEGMENTS_PER_CALL * SEGMENT_HEADER_BYTES + 2 * 8 + 2 * 16 + 2 * 4 + 2 * TAG_BYTES
 
 
-def call_bytes(body: int) -> int:
-    """Bytes on the wire of the data of one direction beyond a call's fixed part."""
-    return body + (body // SEGMENT_BODY) * (SEGMENT_HEADER + SEGMENT_HEADER // 2)
+def data_bytes_on_wire(body: int) -> int:
+    """Return the bytes on the wire for `body` bytes of data in one direction, without the call's fixed part."""
+    return body + (body // SEGMENT_BODY_BYTES) * (SEGMENT_HEADER_BYTES + SEGMENT_HEADER_BYTES // 2)
 
 
 class CountingWorld(World):
-    """Counts what the base does not: calls, by bytes and number, out and in, and datagrams that come in."""
+    """A virtual world that also counts calls, their bytes in both directions, and received datagrams."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed, encode=True)
         self.datagrams_out = 0
         self.datagram_bytes_in = 0
         self.calls = 0
-        self.call_bytes = 0  # out and in together, of both ends once
-        self.call_sizes: Counter[str] = Counter()
+        self.call_bytes = 0  # both directions together; each byte is counted once, not at both ends
+        self.call_bytes_by_message: Counter[str] = Counter()
 
     def _send_datagram(self, host: Host, address: Address, packet: m.Packet) -> None:
         before = self.sent_bytes[host.name]
@@ -59,7 +59,7 @@
         self, host: Host, address: Address, number: int, request: m.Request, within: float
     ) -> None:
         self.calls += 1
-        self._count_call(request, CALL_FIXED)
+        self._count_call(request, FIXED_CALL_BYTES)
         super()._send_request(host, address, number, request, within)
 
     def _deliver_response(
@@ -69,52 +69,51 @@
             self._count_call(answer, 0)
         super()._deliver_response(host, generation, number, answer, refused)
 
-    def _count_call(self, message: m.Request | m.Response, fixed: int) -> None:
-        size = call_bytes(len(m.encode(message))) + fixed
+    def _count_call(self, message: m.Request | m.Response, fixed_bytes: int) -> None:
+        size = data_bytes_on_wire(len(m.encode(message))) + fixed_bytes
         self.call_bytes += size
-        self.call_sizes[type(message).__name__] += size
+        self.call_bytes_by_message[type(message).__name__] += size
 
 
-def names(count: int) -> list[str]:
-    """Members of a virtual fleet, in the order of their view."""
+def member_names(count: int) -> list[str]:
+    """Return the names of a virtual fleet's members, in the order of their view."""
     return [f"relay-{n:05d}" for n in range(count)]
 
 
 def settled_fleet(size: int, seed: int = 1) -> CountingWorld:
-    """A fleet of so many members that all hold a lease. Raises RuntimeError where they don't get one."""
-    world, everybody = CountingWorld(seed), names(size)
-    places = [(name, world.host(name).address) for name in everybody]
-    peers = [_peer(name, address, n) for n, (name, address) in enumerate(places)]
+    """Return a fleet of `size` members that all hold a lease. Raises RuntimeError if they don't get one in time."""
+    world, members = CountingWorld(seed), member_names(size)
+    addresses = [(name, world.host(name).address) for name in members]
+    peers = [_peer(name, address, n) for n, (name, address) in enumerate(addresses)]
     view = View(1 << 16, 2, sorted_by_name(peers))
-    founders = frozenset(everybody[:5])
-    seeds = tuple(address for _, address in places[:3])
+    founders = frozenset(members[:5])
+    seeds = tuple(address for _, address in addresses[:3])
     for peer in peers:
         host = world.host(peer.name)
         host.generation += 1
-        plan = NodeConfig(peer.name, *host.address, peer.zone, seeds, founders)
-        node = Node(plan, Random(world.random.getrandbits(64)), world.clock(host), lambda: START_UNIX_MS)
-        handover = handover_state_decoder.decode(
-            m.encode(_handover(peer, view, world.clock(host)))
-        )  # an own copy of the view
+        config = NodeConfig(peer.name, *host.address, peer.zone, seeds, founders)
+        node = Node(config, Random(world.random.getrandbits(64)), world.clock(host), lambda: START_UNIX_MS)
+        # Encoded and decoded, so that each member has its own copy of the view.
+        handover = handover_state_decoder.decode(m.encode(_handover(peer, view, world.clock(host))))
         node.import_state(handover, world.clock(host))
         host.node = node
         world.carry_out_actions(host)
         world._schedule(world.now + world.random.random() * 0.25, world._wake_node, host, host.generation)
-    if not world.run(SETTLE_WITHIN, lambda: _live(world, everybody[-1]) and world.settled(everybody)):
-        raise RuntimeError(f"{size} members that take up a view do not settle")
+    if not world.run(
+        SETTLE_TIMEOUT_SECONDS, lambda: _has_lease(world, members[-1]) and world.settled(members)
+    ):
+        raise RuntimeError(f"{size} members that imported one view did not all get a lease in time")
     return world
 
 
-def _live(world: World, name: str) -> bool:
+def _has_lease(world: World, name: str) -> bool:
     host = world.hosts[name]
     return host.node is not None and host.node.may_act(world.clock(host))
 
 
 def _peer(name: str, address: Address, place: int) -> Peer:
-    draw = Random(name)
-    return Peer(
-        name, draw.getrandbits(62) | 1, *address, f"zone-{place % ZONES}", draw.getrandbits(62) | 1, 1
-    )
+    rng = Random(name)
+    return Peer(name, rng.getrandbits(62) | 1, *address, f"zone-{place % ZONES}", rng.getrandbits(62) | 1, 1)
 
 
 def _handover(peer: Peer, view: View, now: float) -> HandoverState:
@@ -131,14 +130,14 @@
     )  # fmt: skip
 
 
-def processor(world: World, seconds: float) -> float:
-    """Let virtual time pass; processor time that it took, in s."""
+def run_measured(world: World, seconds: float) -> float:
+    """Advance virtual time; return the processor time that this took, in seconds."""
     began = time.process_time()
     world.run(seconds)
     return time.process_time() - began
 
 
 def view_of(size: int) -> View:
-    """A view of so many members."""
-    peers = [_peer(name, ("10.0.0.1", PORT), place) for place, name in enumerate(names(size))]
+    """Return a view of `size` members."""
+    peers = [_peer(name, ("10.0.0.1", PORT), place) for place, name in enumerate(member_names(size))]
     return View(1 << 16, 2, sorted_by_name(peers))
--- a/benchmarks/capacity/peers.py
+++ b/benchmarks/capacity/peers.py
@@ -1,4 +1,7 @@
-"""Standing clients and the servers behind a relay, of both fronts, many in one process; loopback only."""
+"""Simulated clients with established connections and the servers behind a relay, for both fronts, on loopback.
+
+Many clients and servers run in one process.
+"""
 
 from __future__ import annotations
 
@@ -10,39 +13,40 @@
 Address = tuple[str, int]
 
 HOST = "127.0.0.1"
-UP_WITHIN = 20.0  # s until a client's connection has to be up
-ATTEMPTS, AGAIN = 20, 1.0  # of a client that is refused; s between two
+ESTABLISH_TIMEOUT_SECONDS = 20.0  # for each attempt of a client
+MAX_ATTEMPTS, RETRY_DELAY_SECONDS = 20, 1.0  # for a client that is refused
 SUBJECT = b"feed"
-BODY = b"x" * 64  # of one delivery
+BODY = b"x" * 64  # payload of one delivery
 INFO = b'INFO {"server_id":"capacity","headers":true,"max_payload":65536}\r\n'
 CONNECT = b'CONNECT {"verbose":false,"user":"club"}\r\nPING\r\nSUB feed 1\r\n'
 
 
-class Lines(asyncio.Protocol):
-    """One side of a connection that is read line by line."""
+class CrlfProtocol(asyncio.Protocol):
+    """Base of both ends of a connection: splits the received data into lines that end with CRLF."""
 
     transport: asyncio.Transport
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.partial_line = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its class
+        # uvloop's transport has the interface but not the class.
+        self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        *lines, self.rest = (self.rest + data).split(b"\r\n")
+        *lines, self.partial_line = (self.partial_line + data).split(b"\r\n")
         for line in lines:
-            self.line(line)
+            self.line_received(line)
 
-    def line(self, line: bytes) -> None:
-        """Take one line without its end."""
+    def line_received(self, line: bytes) -> None:
+        """Handle one line, without its CRLF."""
         raise NotImplementedError
 
 
-class Server(Lines):
-    """One connection of the relay to a server; `up` once it stands for a client."""
+class Server(CrlfProtocol):
+    """The server's end of a connection from the relay; in `standing` while it serves an established client."""
 
-    standing: set[Server]  # of all servers of one kind
+    standing: set[Server]  # established connections, shared by all servers of one front
 
     def __init__(self, standing: set[Server]) -> None:
         super().__init__()
@@ -52,14 +56,14 @@
         self.standing.discard(self)
 
     def deliver(self) -> None:
-        """Send the client one message."""
+        """Send one message to the client."""
         raise NotImplementedError
 
 
 class LineServer(Server):
-    """A gate server of the line protocol."""
+    """The server's end of a connection in the line protocol."""
 
-    def line(self, line: bytes) -> None:
+    def line_received(self, line: bytes) -> None:
         if line == b"PING":
             self.transport.write(b"PONG\r\n")
         elif line.startswith(b"OPEN "):
@@ -71,7 +75,7 @@
 
 
 class NatsServer(Server):
-    """A NATS-speaking server with the subject that all clients subscribe to."""
+    """The server's end of a NATS connection; all clients subscribe to one subject."""
 
     sid = b""
 
@@ -79,7 +83,7 @@
         super().connection_made(transport)
         self.transport.write(INFO)
 
-    def line(self, line: bytes) -> None:
+    def line_received(self, line: bytes) -> None:
         if line == b"PING":
             self.transport.write(b"PONG\r\n")
         elif line.startswith(b"SUB "):
@@ -90,98 +94,102 @@
         self.transport.write(b"MSG %b %b %d\r\n%b\r\n" % (SUBJECT, self.sid, len(BODY), BODY))
 
 
-class Client(Lines):
-    """A client that stands and counts what it gets."""
+class Client(CrlfProtocol):
+    """A client that keeps its connection open and counts the messages that it receives."""
 
     numbers = itertools.count(1)
 
     def __init__(self) -> None:
         super().__init__()
-        self.up: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.established: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.messages = 0
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self.up.done():
-            self.up.set_exception(ConnectionError("ended before it was up"))
+        if not self.established.done():
+            self.established.set_exception(ConnectionError("connection lost before it was established"))
 
 
 class LineClient(Client):
-    """A turnstile: it opens and listens."""
+    """A client of the line protocol that opens a request and receives messages."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         number = next(self.numbers)
         self.transport.write(b"OPEN %016x %x c=checkin,t=club,d=5000\r\n" % (number, number))
 
-    def line(self, line: bytes) -> None:
-        if line.startswith(b"UP") and not self.up.done():
-            self.up.set_result(None)
+    def line_received(self, line: bytes) -> None:
+        if line.startswith(b"UP") and not self.established.done():
+            self.established.set_result(None)
         elif line == BODY:
             self.messages += 1
-        elif not self.up.done():
-            self.up.set_exception(ConnectionError(line.decode("ascii", "replace")))
+        elif not self.established.done():
+            self.established.set_exception(ConnectionError(line.decode("ascii", "replace")))
 
 
 class NatsClient(Client):
-    """A subscriber."""
+    """A client of the NATS protocol that subscribes to one subject."""
 
-    def line(self, line: bytes) -> None:
+    def line_received(self, line: bytes) -> None:
         if line.startswith(b"INFO"):
             self.transport.write(CONNECT)
         elif line == b"PING":
             self.transport.write(b"PONG\r\n")
-        elif line == b"PONG" and not self.up.done():
-            self.up.set_result(None)
+        elif line == b"PONG" and not self.established.done():
+            self.established.set_result(None)
         elif line == BODY:
             self.messages += 1
-        elif line.startswith(b"-ERR") and not self.up.done():
-            self.up.set_exception(ConnectionError(line.decode("ascii", "replace")))
+        elif line.startswith(b"-ERR") and not self.established.done():
+            self.established.set_exception(ConnectionError(line.decode("ascii", "replace")))
 
 
 class LineFront:
-    """Line protocol."""
+    """Name, server and client of the line protocol's front."""
 
     name, server, client = "line", LineServer, LineClient
 
 
 class NatsFront:
-    """NATS client protocol."""
+    """Name, server and client of the NATS front."""
 
     name, server, client = "nats", NatsServer, NatsClient
 
 
-async def serve(kind: type[Server], standing: set[Server]) -> tuple[asyncio.Server, Address]:
-    """Listen as one server."""
-    server = await asyncio.get_running_loop().create_server(lambda: kind(standing), HOST, 0, backlog=1024)
+async def serve(server_type: type[Server], standing: set[Server]) -> tuple[asyncio.Server, Address]:
+    """Listen as one server; return it with its address."""
+    server = await asyncio.get_running_loop().create_server(
+        lambda: server_type(standing), HOST, 0, backlog=1024
+    )
     host, port = server.sockets[0].getsockname()[:2]
     return server, (str(host), int(port))
 
 
-async def stand(kind: type[Client], address: Address, count: int, at_once: int) -> list[Client]:
-    """Bring so many clients up, some at a time; who is refused comes again, as clients do.
+async def connect_clients(
+    client_type: type[Client], address: Address, count: int, at_once: int
+) -> list[Client]:
+    """Connect `count` clients, `at_once` at a time; a refused client retries, as real clients do.
 
-    Raises ConnectionError where one is refused too often, or TimeoutError.
+    Raises ConnectionError if a client is refused too often, TimeoutError if an attempt gets no answer.
     """
     clients: list[Client] = []
 
-    async def some(share: Iterable[int]) -> None:
-        for _ in share:
-            clients.append(await _up(kind, address))
+    async def connect_share(client_numbers: Iterable[int]) -> None:
+        for _ in client_numbers:
+            clients.append(await _connect_client(client_type, address))
 
-    await asyncio.gather(*(some(range(n, count, at_once)) for n in range(at_once)))
+    await asyncio.gather(*(connect_share(range(n, count, at_once)) for n in range(at_once)))
     return clients
 
 
-async def _up(kind: type[Client], address: Address) -> Client:
-    for attempt in range(ATTEMPTS):
-        _, client = await asyncio.get_running_loop().create_connection(kind, *address)
+async def _connect_client(client_type: type[Client], address: Address) -> Client:
+    for attempt in range(MAX_ATTEMPTS):
+        _, client = await asyncio.get_running_loop().create_connection(client_type, *address)
         try:
-            async with asyncio.timeout(UP_WITHIN):
-                await client.up
+            async with asyncio.timeout(ESTABLISH_TIMEOUT_SECONDS):
+                await client.established
             return client
         except ConnectionError:
             client.transport.abort()
-            if attempt + 1 == ATTEMPTS:
+            if attempt + 1 == MAX_ATTEMPTS:
                 raise
-            await asyncio.sleep(AGAIN)
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
     raise AssertionError("not reached")
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -1,4 +1,4 @@
-"""Every role, in the page's order."""
+"""All roles, in the order of the page."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from benchmarks.capacity.role import Role
 
 ROLES = (
-    data.connections, data.deliveries, data.decisions, control.listing, control.view, control.beyond_one_view,
-    control.shared_map, control.owners, control.cold, control.console, control.control_machine, control.discovery,
-    control.topics, control.together,
+    data.connections, data.deliveries, data.decisions, control.server_list_watch, control.view, control.multi_view_membership,
+    control.shared_map, control.owner_lookups, control.cold_server_shares, control.console, control.control_machine, control.discovery,
+    control.topic_directory, control.all_control,
 )  # fmt: skip
 
 
 def all_roles(measured: Measured) -> list[Role]:
-    """What each role needs."""
+    """Return every role with its needs."""
     return [make(measured) for make in ROLES]
