--- a/benchmarks/fleet_scale/__main__.py
+++ b/benchmarks/fleet_scale/__main__.py
@@ -14,8 +14,8 @@
 
 import uvloop
 
-from benchmarks.fleet_scale.bounds import broken
-from benchmarks.fleet_scale.layout import LayoutFaultError, Size
+from benchmarks.fleet_scale.bounds import missed_bounds
+from benchmarks.fleet_scale.layout import LayoutError, Size
 from benchmarks.fleet_scale.report import TARGET, Outcome, page
 from benchmarks.fleet_scale.run import Request, run
 from benchmarks.fleet_scale.timeline import FULL, QUICK
@@ -64,9 +64,9 @@
 def show(outcome: Outcome) -> None:
     """Print the page, what broke, and the figures in the last line."""
     print(page(outcome))
-    for fault in outcome.faults:
-        print(f"BROKE: {fault}")
-    for bound in broken(outcome.bounds):
+    for failure in outcome.failures:
+        print(f"BROKE: {failure}")
+    for bound in missed_bounds(outcome.bounds):
         print(
             f"BROKE: {bound.title}: {bound.unit.show(bound.value)}, expected {bound.unit.show(bound.limit)} at most"
         )
@@ -87,7 +87,7 @@
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(relativeCreated)7d ms %(message)s")
     try:
         wanted = request(args)
-    except LayoutFaultError as err:
+    except LayoutError as err:
         print(f"fleet_scale: {err}", file=sys.stderr)
         return 2
     try:
--- a/benchmarks/fleet_scale/bounds.py
+++ b/benchmarks/fleet_scale/bounds.py
@@ -12,20 +12,20 @@
 
     text: str
     factor: float = 1.0  # of the figure, before it is shown
-    places: int = 1
+    decimals: int = 1
 
     def show(self, value: float) -> str:
         """The figure with its unit."""
         if value == float("inf"):
             return "never"
-        return f"{value * self.factor:.{self.places}f}{self.text}"
+        return f"{value * self.factor:.{self.decimals}f}{self.text}"
 
 
-SECONDS = Unit(" s", places=2)
-KILOBYTES_A_SECOND = Unit(" KB/s", 0.001, 2)
-PART = Unit("%", 100.0, 2)
+SECONDS = Unit(" s", decimals=2)
+KILOBYTES_PER_SECOND = Unit(" KB/s", 0.001, 2)
+PERCENT = Unit("%", 100.0, 2)
 MEBIBYTES = Unit(" MiB")
-COUNT = Unit("", places=0)
+COUNT = Unit("", decimals=0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
     note: str = ""
 
     @property
-    def kept(self) -> bool:
+    def met(self) -> bool:
         return self.samples > 0 and self.value <= self.limit
 
     @property
@@ -49,13 +49,13 @@
         """Whether it was kept, and by how much not."""
         if not self.samples:
             return "**not shown: nothing was measured**"
-        if not self.kept:
+        if not self.met:
             return f"**missed by {self.unit.show(self.value - self.limit)}**"
         if self.aim is not None and self.value > self.aim:
             return "kept, the aim missed"
         return "kept"
 
 
-def broken(bounds: Sequence[Bound]) -> list[Bound]:
+def missed_bounds(bounds: Sequence[Bound]) -> list[Bound]:
     """Those that were not kept."""
-    return [bound for bound in bounds if not bound.kept]
+    return [bound for bound in bounds if not bound.met]
--- a/benchmarks/fleet_scale/fleet.py
+++ b/benchmarks/fleet_scale/fleet.py
@@ -20,15 +20,15 @@
 from violetdoor.control.messages import RelayKey
 
 CONTROL_PROGRAM = ("violetdoor", "control", "--config")
-SAMPLE_EVERY = 1.0  # s between two looks at the processes
-LOOK_EVERY = 0.1  # s between two looks whether what is waited for has come
-STARTS_AT_ONCE = 8  # processes that are started beside each other
-START_WITHIN = 30.0  # s until a started process answers its console
-STOP_WITHIN = 10.0  # s that a host has to write what it has not written
-CONSOLE_WITHIN = 2.0  # s that a console has to answer
+SAMPLE_INTERVAL_S = 1.0  # s between two looks at the processes
+WAIT_POLL_INTERVAL_S = 0.1  # s between two looks whether what is waited for has come
+MAX_CONCURRENT_STARTS = 8  # processes that are started beside each other
+PROCESS_START_TIMEOUT_S = 30.0  # s until a started process answers its console
+HOST_REPLY_TIMEOUT_S = 10.0  # s that a host has to write what it has not written
+CONSOLE_TIMEOUT_S = 2.0  # s that a console has to answer
 
 
-class FleetFaultError(Exception):
+class FleetStartError(Exception):
     """The fleet of the run could not be brought up: nothing can be said of it."""
 
 
@@ -57,15 +57,15 @@
         """Start all control machines, and wait until each can grant leases."""
         configs.write_key(self.folder)
         machines = self.layout.machines
-        await self._some_at_once(self._start_control(machine) for machine in machines)
-        await asyncio.gather(*(self._answers(self.controls[m.name], m.console) for m in machines))
+        await self._await_limited(self._start_control(machine) for machine in machines)
+        await asyncio.gather(*(self._wait_for_console(self.controls[m.name], m.console) for m in machines))
         self._sampling = asyncio.get_running_loop().create_task(self._sample())
 
     async def _start_control(self, machine: ControlMachine) -> None:
         path = configs.write_control(self.folder, machine, self.layout, self._regions_seen_by(machine))
         process = await self.processes.start(machine.name, [*CONTROL_PROGRAM, str(path)], self.folder)
         self.controls[machine.name] = process
-        await self._answers(process, machine.console, any_answer=True)
+        await self._wait_for_console(process, machine.console, any_answer=True)
 
     def _regions_seen_by(self, machine: ControlMachine) -> dict[str, tuple[p.Address, ...]]:
         """Where a machine reaches each region: over links that can be cut, from and to the region to be cut off."""
@@ -76,11 +76,11 @@
 
     def _route(self, region: str, other: ControlMachine) -> p.Address:
         crosses = region != other.region and self.cut_region in (region, other.region)
-        return self.links.through(other.sessions) if crosses else other.sessions
+        return self.links.proxied_address(other.sessions) if crosses else other.sessions
 
     async def start_hosts(self, over: float) -> None:
         """Start all hosts, and their relays spread over so many seconds."""
-        await self._some_at_once(
+        await self._await_limited(
             self._start_host(zone, rack) for zone in self.layout.zones for rack in (False, True)
         )
         for host in self.hosts:
@@ -88,12 +88,12 @@
 
     async def _start_host(self, zone: Zone, rack: bool) -> None:
         name = rack_host(zone) if rack else zone_host(zone)
-        relays = zone.rack if rack else zone.hollow
+        relays = zone.rack if rack else zone.stubs
         controls = tuple(machine.sessions for machine in self.layout.group(zone.region))
         names = frozenset(relay.name for relay in relays)
         plan = p.HostPlan(
             name, zone.region, self.layout.regions, controls, str(configs.key_path(self.folder)), relays,
-            self.keys.watched_by(zone.region, names), self.random.getrandbits(32),
+            self.keys.sampled_keys(zone.region, names), self.random.getrandbits(32),
         )  # fmt: skip
         path = self.folder / f"{name}.json"
         path.write_bytes(p.encode(plan))
@@ -101,7 +101,7 @@
         self.host_of |= dict.fromkeys(names, name)
 
         def take(line: bytes) -> None:
-            self.history.take(name, line)
+            self.history.add_line(name, line)
 
         self.hosts[name] = await self.processes.start(
             name, ["benchmarks.fleet_scale.host", str(path)], self.folder, take
@@ -109,14 +109,14 @@
 
     async def start_real(self) -> None:
         """Start the real relays, and one without a control plane to see what that takes."""
-        await self._some_at_once(self._start_real(relay) for relay in self.layout.real)
+        await self._await_limited(self._start_real(relay) for relay in self.layout.real)
         await self._start_unattached()
 
     async def _start_real(self, relay: RealRelay) -> None:
         path = configs.write_real(self.folder, relay, self.layout)
         process = await self.processes.start(relay.name, ["violetdoor", "--config", str(path)], self.folder)
         self.real[relay.name] = process
-        await self._answers(process, relay.console)
+        await self._wait_for_console(process, relay.console)
 
     async def _start_unattached(self) -> None:
         relay = self.layout.unattached
@@ -124,7 +124,7 @@
         self.real[relay.name] = await self.processes.start(
             relay.name, ["violetdoor", "--config", str(path)], self.folder
         )
-        await self._answers(self.real[relay.name], relay.console)
+        await self._wait_for_console(self.real[relay.name], relay.console)
 
     @property
     def unattached(self) -> str:
@@ -132,8 +132,8 @@
         return self.layout.unattached.name
 
     @staticmethod
-    async def _some_at_once(starts: Iterable[Any]) -> None:
-        slots = asyncio.Semaphore(STARTS_AT_ONCE)
+    async def _await_limited(starts: Iterable[Any]) -> None:
+        slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
         async def one(start: Any) -> None:
             async with slots:
@@ -141,17 +141,19 @@
 
         await asyncio.gather(*(one(start) for start in starts))
 
-    async def _answers(self, process: Process, console: p.Address, any_answer: bool = False) -> None:
+    async def _wait_for_console(self, process: Process, console: p.Address, any_answer: bool = False) -> None:
         """Wait until a process says at its console that it is in service, or anything."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + START_WITHIN
+        until = loop.time() + PROCESS_START_TIMEOUT_S
         while loop.time() < until and process.running:
             status = await call(console, "GET", "/healthcheck")
             if status == HTTPStatus.OK or (any_answer and status is not None):
                 return
-            await asyncio.sleep(LOOK_EVERY)
-        said = " | ".join(process.said)
-        raise FleetFaultError(f"{process.name} does not answer {console} within {START_WITHIN:g} s: {said}")
+            await asyncio.sleep(WAIT_POLL_INTERVAL_S)
+        stderr_tail = " | ".join(process.stderr_tail)
+        raise FleetStartError(
+            f"{process.name} does not answer {console} within {PROCESS_START_TIMEOUT_S:g} s: {stderr_tail}"
+        )
 
     # Looking.
 
@@ -161,16 +163,16 @@
                 usage = process.usage()
                 if usage is not None:
                     self.history.usage[process.name].append(UsageSample(p.shared_clock(), usage))
-            await asyncio.sleep(SAMPLE_EVERY)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
-    async def wait_for(self, true: Callable[[], bool], within: float) -> bool:
+    async def wait_for(self, condition: Callable[[], bool], timeout_s: float) -> bool:
         """Wait until something is so; False if that takes too long."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + within
-        while not true():
-            if loop.time() > until or self.processes.faults():
+        until = loop.time() + timeout_s
+        while not condition():
+            if loop.time() > until or self.processes.failures():
                 return False
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(WAIT_POLL_INTERVAL_S)
         return True
 
     def all_in_service(self) -> bool:
@@ -183,12 +185,12 @@
                 return False
         return True
 
-    def all_begun(self) -> bool:
+    def all_started(self) -> bool:
         """Whether all hollow relays have been started, and are in service."""
         wanted = sum(len(host.names) for host in self.history.hosts.values())
         return len(self.history.running) == wanted and self.all_in_service()
 
-    def living(self, region: str) -> list[str]:
+    def running_stubs(self, region: str) -> list[str]:
         """Names of the running hollow relays of a region."""
         names = (name for host in self.history.hosts.values() if host.region == region for name in host.names)
         return sorted(name for name in names if name in self.history.running)
@@ -202,7 +204,8 @@
             if host in living:
                 self._command(name, p.TakeAudit(number))
         await self.wait_for(
-            lambda: all(host.audits and host.audits[-1].number == number for host in living), STOP_WITHIN
+            lambda: all(host.audits and host.audits[-1].number == number for host in living),
+            HOST_REPLY_TIMEOUT_S,
         )
         return number
 
@@ -223,9 +226,9 @@
         """A rack's machines die: no connection ends, and nobody answers."""
         name = rack_host(zone)
         at = p.shared_clock()
-        self.hosts[name].ending = True
+        self.hosts[name].end_expected = True
         self.hosts[name].signal(signal.SIGSTOP)
-        return self.history.lose(name, at, "silent")
+        return self.history.add_host_end(name, at, "silent")
 
     def kill_zone(self, zone: Zone) -> tuple[RelayKey, ...]:
         """All processes of a zone's relays die at once."""
@@ -235,9 +238,9 @@
             self.real[relay.name].kill()
             self.history.real_ended[relay.name] = at
         for name in (zone_host(zone), rack_host(zone)):
-            if self.history.hosts[name].lost_at > at:
+            if self.history.hosts[name].ended_at > at:
                 self.hosts[name].kill()
-                lost += self.history.lose(name, at, "closed")
+                lost += self.history.add_host_end(name, at, "closed")
         return lost
 
     def kill_control(self, machine: ControlMachine) -> None:
@@ -252,17 +255,17 @@
             self._sampling.cancel()
         stopping = []
         for name, process in self.hosts.items():
-            if not process.ending:
-                process.ending = True
+            if not process.end_expected:
+                process.end_expected = True
                 self._command(name, p.StopHost())
                 stopping.append(process)
-        waits = [asyncio.wait_for(one.process.wait(), STOP_WITHIN) for one in stopping]
+        waits = [asyncio.wait_for(one.process.wait(), HOST_REPLY_TIMEOUT_S) for one in stopping]
         for process, ended in zip(
             stopping, await asyncio.gather(*waits, return_exceptions=True), strict=True
         ):
             if isinstance(ended, BaseException):
-                self.history.faults.append(f"{process.name} did not stop within {STOP_WITHIN:g} s")
-        await asyncio.gather(*(task for one in stopping for task in one.reading), return_exceptions=True)
+                self.history.failures.append(f"{process.name} did not stop within {HOST_REPLY_TIMEOUT_S:g} s")
+        await asyncio.gather(*(task for one in stopping for task in one.reader_tasks), return_exceptions=True)
         await self.links.close()
 
 
@@ -279,7 +282,7 @@
 async def call(console: p.Address, method: str, path: str) -> int | None:
     """Call a console; the status of its answer, or nothing where it does not answer."""
     try:
-        async with asyncio.timeout(CONSOLE_WITHIN):
+        async with asyncio.timeout(CONSOLE_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(console.host, console.port)
             writer.write(f"{method} {path} HTTP/1.1\r\nHost: fleet-scale\r\n\r\n".encode())
             answer = await reader.read(-1)
--- a/benchmarks/fleet_scale/hollow.py
+++ b/benchmarks/fleet_scale/hollow.py
@@ -14,7 +14,7 @@
 class RunningRelay:
     """One instance of a hollow relay, from its start to its end."""
 
-    def __init__(self, relay: p.HollowRelay, plan: p.HostPlan, key: bytes) -> None:
+    def __init__(self, relay: p.StubRelay, plan: p.HostPlan, key: bytes) -> None:
         controls = tuple((address.host, address.port) for address in plan.controls)
         attachment_plan = AttachmentConfig(
             relay.name, relay.address.host, relay.address.port, relay.zone, plan.region, controls
@@ -24,7 +24,7 @@
         self.attachment = self.client.attachment
         self.key: RelayKey = relay_key(self.attachment.relay)
         self.in_service = False  # it has been in its roster with a lease
-        self.gap = False  # it was without a lease at the last look
+        self.without_lease = False  # it was without a lease at the last look
 
     # What is looked at.
 
@@ -51,7 +51,7 @@
         count = self.attachment.membership.region_counts.get(region)
         return None if count is None else count.version
 
-    def counted(self, region: str) -> int:
+    def counted_relays(self, region: str) -> int:
         """How many live in another region, by its count."""
         count = self.attachment.membership.region_counts.get(region)
         return 0 if count is None else sum(zone.relay_count for zone in count.zones)
--- a/benchmarks/fleet_scale/host.py
+++ b/benchmarks/fleet_scale/host.py
@@ -18,16 +18,16 @@
 
 from benchmarks.fleet_scale import protocol as p
 from benchmarks.fleet_scale.hollow import RunningRelay
-from benchmarks.fleet_scale.looks import OwnerLook, RosterLook, ServiceLook, TrafficLook
+from benchmarks.fleet_scale.looks import OwnershipRecorder, RosterRecorder, ServiceRecorder, TrafficRecorder
 from benchmarks.machine import rss_kib
 from violetdoor.fleet.key_file import read_key
 
-LOOK_EVERY = 0.1  # s: the precision of the times of records
-OWNERS_EVERY = 0.25  # s
-COUNTS_EVERY = 0.5  # s
-TRAFFIC_EVERY = 1.0  # s
-DRAIN_WITHIN = 5.0  # s that the reader of the records has to take the last ones
-LINE_MOST = 1 << 20  # bytes of a command: the names of a zone's relays
+OBSERVE_INTERVAL_S = 0.1  # s: the precision of the times of records
+OWNERS_INTERVAL_S = 0.25  # s
+COUNTS_INTERVAL_S = 0.5  # s
+TRAFFIC_INTERVAL_S = 1.0  # s
+DRAIN_TIMEOUT_S = 5.0  # s that the reader of the records has to take the last ones
+MAX_COMMAND_BYTES = 1 << 20  # bytes of a command: the names of a zone's relays
 
 
 class Host:
@@ -37,19 +37,19 @@
         self.plan, self.write = plan, write
         self.key = read_key(Path(plan.key_file))
         self.random = Random(plan.seed)
-        self.known = {relay.name: relay for relay in plan.relays}
+        self.relay_plans = {relay.name: relay for relay in plan.relays}
         self.running: dict[str, RunningRelay] = {}
         self.loop = asyncio.get_running_loop()
-        self.looking = 0.0  # s of the processor that the looks took
+        self.observation_cpu_s = 0.0  # s of the processor that the looks took
         self.stopped = asyncio.Event()
-        self.service = ServiceLook(write)
-        self.rosters = RosterLook(plan, write)
-        self.owners = OwnerLook(plan, write, self.random)
-        self.traffic = TrafficLook(write, p.shared_clock())
+        self.service = ServiceRecorder(write)
+        self.rosters = RosterRecorder(plan, write)
+        self.owners = OwnershipRecorder(plan, write, self.random)
+        self.traffic = TrafficRecorder(write, p.shared_clock())
 
     # Commands.
 
-    def obey(self, command: p.Command) -> None:
+    def handle_command(self, command: p.Command) -> None:
         """Do as the harness says."""
         match command:
             case p.Begin(over=over):
@@ -67,20 +67,20 @@
 
     def begin(self, over: float) -> None:
         """Start all relays at moments of their own, and look at them from now on."""
-        for name in self.known:
+        for name in self.relay_plans:
             self.loop.call_later(self.random.uniform(0.0, over), self.start, name)
-        self._repeat(LOOK_EVERY, lambda now: self.service.look(now, self.relays))
-        self._repeat(LOOK_EVERY, lambda now: self.rosters.look(now, self.relays))
-        self._repeat(OWNERS_EVERY, lambda now: self.owners.look(p.shared_clock, self.running))
-        self._repeat(COUNTS_EVERY, self._look_at_counts)
-        self._repeat(TRAFFIC_EVERY, lambda now: self.traffic.look(now, self.relays))
-        self._repeat(TRAFFIC_EVERY, self._look_at_cost)
+        self._repeat(OBSERVE_INTERVAL_S, lambda now: self.service.observe(now, self.relays))
+        self._repeat(OBSERVE_INTERVAL_S, lambda now: self.rosters.observe(now, self.relays))
+        self._repeat(OWNERS_INTERVAL_S, lambda now: self.owners.observe(p.shared_clock, self.running))
+        self._repeat(COUNTS_INTERVAL_S, self._record_counts)
+        self._repeat(TRAFFIC_INTERVAL_S, lambda now: self.traffic.observe(now, self.relays))
+        self._repeat(TRAFFIC_INTERVAL_S, self._record_cost)
 
     def start(self, name: str) -> None:
         """Start a relay as a new instance."""
         if name in self.running or self.stopped.is_set():
             return
-        relay = RunningRelay(self.known[name], self.plan, self.key)
+        relay = RunningRelay(self.relay_plans[name], self.plan, self.key)
         self.running[name] = relay
         self.write(p.RelayStarted(p.shared_clock(), relay.key))
 
@@ -88,7 +88,7 @@
         """End a running relay."""
         relay = self.running.pop(name, None)
         if relay is None:
-            self.write(p.HostFault(p.shared_clock(), f"{name} does not run and can't be ended"))
+            self.write(p.HostFailure(p.shared_clock(), f"{name} does not run and can't be ended"))
             return
         now = p.shared_clock()
         relay.end(how)
@@ -112,47 +112,49 @@
     def relays(self) -> list[RunningRelay]:
         return list(self.running.values())
 
-    def _repeat(self, every: float, look: Callable[[float], None]) -> None:
+    def _repeat(self, every: float, observe: Callable[[float], None]) -> None:
         def run() -> None:
             if self.stopped.is_set():
                 return
             before = time.thread_time()
-            look(p.shared_clock())
-            self.looking += time.thread_time() - before
+            observe(p.shared_clock())
+            self.observation_cpu_s += time.thread_time() - before
             self.loop.call_later(every, run)
 
         run()
 
-    def _look_at_counts(self, now: float) -> None:
-        self.rosters.look_at_counts(now, self.relays)
+    def _record_counts(self, now: float) -> None:
+        self.rosters.observe_counts(now, self.relays)
         acting = sum(relay.may_act(now) for relay in self.relays)
         in_roster = sum(relay.in_own_roster for relay in self.relays)
         self.write(p.Census(now, len(self.running), in_roster, acting))
 
-    def _look_at_cost(self, now: float) -> None:
-        self.write(p.Cost(now, time.process_time(), self.looking, rss_kib(), len(self.running)))
+    def _record_cost(self, now: float) -> None:
+        self.write(p.Cost(now, time.process_time(), self.observation_cpu_s, rss_kib(), len(self.running)))
 
 
 async def serve(plan: p.HostPlan) -> None:
     """Read commands until told to stop, or until nobody is there to say so."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=LINE_MOST)
+    reader = asyncio.StreamReader(limit=MAX_COMMAND_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     transport, protocol = await loop.connect_write_pipe(asyncio.streams.FlowControlMixin, sys.stdout)
     writer = asyncio.StreamWriter(transport, protocol, None, loop)
     host = Host(plan, lambda record: writer.write(p.encode(record) + b"\n"))
     loop.set_exception_handler(
-        lambda _, context: host.write(p.HostFault(p.shared_clock(), f"{plan.name}: {_described(context)}"))
+        lambda _, context: host.write(
+            p.HostFailure(p.shared_clock(), f"{plan.name}: {_describe_exception(context)}")
+        )
     )
     while not host.stopped.is_set() and (line := await reader.readline()):
-        host.obey(p.commands.decode(line))
-    async with asyncio.timeout(DRAIN_WITHIN):
+        host.handle_command(p.commands.decode(line))
+    async with asyncio.timeout(DRAIN_TIMEOUT_S):
         await writer.drain()
         writer.close()
         await writer.wait_closed()
 
 
-def _described(context: dict[str, object]) -> str:
+def _describe_exception(context: dict[str, object]) -> str:
     return f"{context.get('message')}: {context.get('exception')!r}"
 
 
--- a/benchmarks/fleet_scale/keys.py
+++ b/benchmarks/fleet_scale/keys.py
@@ -11,11 +11,13 @@
 from collections.abc import Iterable
 
 from benchmarks.fleet_scale.layout import Layout
-from benchmarks.fleet_scale.protocol import KeyWatch
+from benchmarks.fleet_scale.protocol import SampledKey
 from violetdoor.control.roster import home_region
 from violetdoor.fleet.view import rendezvous_weight
 
-RANKED = 12  # relays asked for each key: by one in 4,000 all of these stand in the half of a region that dies
+CANDIDATES_PER_KEY = (
+    12  # relays asked for each key: by one in 4,000 all of these stand in the half of a region that dies
+)
 
 
 class KeyPlan:
@@ -27,16 +29,16 @@
         self._ranked: dict[str, dict[str, tuple[str, ...]]] = defaultdict(dict)
         for key in self.keys:
             region = home_region(key, layout.regions)
-            self._ranked[region][key] = _first(key, names[region])
+            self._ranked[region][key] = _highest_ranked(key, names[region])
 
-    def watched_by(self, region: str, relays: frozenset[str]) -> tuple[KeyWatch, ...]:
+    def sampled_keys(self, region: str, relays: frozenset[str]) -> tuple[SampledKey, ...]:
         """The keys of a region, and which of these relays rank high for them."""
         return tuple(
-            KeyWatch(key, tuple(name for name in ranked if name in relays))
+            SampledKey(key, tuple(name for name in ranked if name in relays))
             for key, ranked in self._ranked[region].items()
         )
 
-    def first(self, key: str) -> str:
+    def preferred_owner(self, key: str) -> str:
         """The relay that owns a key while all live."""
         return next(ranked[key][0] for ranked in self._ranked.values() if key in ranked)
 
@@ -44,10 +46,14 @@
 def _names_by_region(layout: Layout) -> dict[str, list[str]]:
     found: dict[str, list[str]] = defaultdict(list)
     for zone in layout.zones:
-        found[zone.region] += [relay.name for relay in (*zone.hollow, *zone.rack)]
+        found[zone.region] += [relay.name for relay in (*zone.stubs, *zone.rack)]
         found[zone.region] += [relay.name for relay in zone.real]
     return found
 
 
-def _first(key: str, names: Iterable[str]) -> tuple[str, ...]:
-    return tuple(sorted(names, key=lambda name: (rendezvous_weight(key, name), name), reverse=True)[:RANKED])
+def _highest_ranked(key: str, names: Iterable[str]) -> tuple[str, ...]:
+    return tuple(
+        sorted(names, key=lambda name: (rendezvous_weight(key, name), name), reverse=True)[
+            :CANDIDATES_PER_KEY
+        ]
+    )
--- a/benchmarks/fleet_scale/layout.py
+++ b/benchmarks/fleet_scale/layout.py
@@ -8,17 +8,17 @@
 from dataclasses import dataclass
 from random import Random
 
-from benchmarks.fleet_scale.protocol import Address, HollowRelay
+from benchmarks.fleet_scale.protocol import Address, StubRelay
 
 GROUP_PORT, SESSION_PORT, CONSOLE_PORT, CLIENT_PORT = 7946, 7950, 8500, 8081  # on addresses of the run's own
-GROUP_LEAST, GROUP_MOST = 3, 7  # control machines of a region
-MACHINES_MOST = 200  # addresses that one run has
-RACK = 40  # relays of a rack, and at most
-RACK_SHARE = 4  # this part of a zone
-REAL_PORT_FIRST = 20_000  # of real relays, which share one address
+MIN_GROUP_SIZE, MAX_GROUP_SIZE = 3, 7  # control machines of a region
+MAX_MACHINES = 200  # addresses that one run has
+RACK_RELAYS = 40  # relays of a rack, and at most
+RACK_ZONE_DIVISOR = 4  # this part of a zone
+REAL_PORT_BASE = 20_000  # of real relays, which share one address
 
 
-class LayoutFaultError(Exception):
+class LayoutError(Exception):
     """These numbers make no fleet; the text says why."""
 
 
@@ -34,7 +34,7 @@
                 return
             except OSError:
                 self._guard.close()
-        raise LayoutFaultError("no loopback addresses are free")
+        raise LayoutError("no loopback addresses are free")
 
     def host(self, number: int) -> str:
         """One address."""
@@ -57,15 +57,19 @@
 
     def check(self) -> None:
         """Raise LayoutFaultError where no fleet is of this size."""
-        if not GROUP_LEAST * self.regions <= self.control <= min(GROUP_MOST * self.regions, MACHINES_MOST):
-            raise LayoutFaultError(
+        if (
+            not MIN_GROUP_SIZE * self.regions
+            <= self.control
+            <= min(MAX_GROUP_SIZE * self.regions, MAX_MACHINES)
+        ):
+            raise LayoutError(
                 f"{self.control} control machines for {self.regions} regions: "
-                f"expected {GROUP_LEAST} to {GROUP_MOST} a region, {MACHINES_MOST} in all"
+                f"expected {MIN_GROUP_SIZE} to {MAX_GROUP_SIZE} a region, {MAX_MACHINES} in all"
             )
         if not self.regions <= self.zones:
-            raise LayoutFaultError(f"{self.zones} zones for {self.regions} regions: expected one a region")
+            raise LayoutError(f"{self.zones} zones for {self.regions} regions: expected one a region")
         if self.relays < 4 * self.zones:
-            raise LayoutFaultError(f"{self.relays} relays for {self.zones} zones: expected four a zone")
+            raise LayoutError(f"{self.relays} relays for {self.zones} zones: expected four a zone")
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,8 +110,8 @@
 
     name: str
     region: str
-    hollow: tuple[HollowRelay, ...]
-    rack: tuple[HollowRelay, ...]
+    stubs: tuple[StubRelay, ...]
+    rack: tuple[StubRelay, ...]
     real: tuple[RealRelay, ...]
 
 
@@ -134,12 +138,12 @@
         return tuple(r for z in self.zones for r in z.real)
 
 
-def shares(total: int, parts: int) -> list[int]:
+def split_evenly(total: int, parts: int) -> list[int]:
     """A total in as equal parts as there can be, larger ones first."""
     return [total // parts + (n < total % parts) for n in range(parts)]
 
 
-def lay_out(size: Size, network: Network, real: int) -> Layout:
+def build_layout(size: Size, network: Network, real: int) -> Layout:
     """The fleet of this size, with so many real relays spread over its zones."""
     size.check()
     regions = tuple(f"region-{n:02d}" for n in range(size.regions))
@@ -148,24 +152,24 @@
     ports = _Ports(network.host(251))
     numbers = zip(
         _regions_of_zones(size, regions),
-        shares(size.relays, size.zones),
-        shares(real, size.zones),
+        split_evenly(size.relays, size.zones),
+        split_evenly(real, size.zones),
         strict=True,
     )
     for number, (region, relays, real_here) in enumerate(numbers):
         zones.append(_zone(f"zone-{number:02d}", region, relays, real_here, network, ports))
-    unattached = RealRelay("unattached", "", "", ports.take(), ports.take())
+    unattached = RealRelay("unattached", "", "", ports.allocate(), ports.allocate())
     return Layout(size, regions, machines, tuple(zones), unattached)
 
 
 def _regions_of_zones(size: Size, regions: Sequence[str]) -> list[str]:
-    counts = shares(size.zones, size.regions)
+    counts = split_evenly(size.zones, size.regions)
     return [region for region, count in zip(regions, counts, strict=True) for _ in range(count)]
 
 
 def _machines(size: Size, regions: Sequence[str], network: Network) -> tuple[ControlMachine, ...]:
     found: list[ControlMachine] = []
-    for region, count in zip(regions, shares(size.control, size.regions), strict=True):
+    for region, count in zip(regions, split_evenly(size.control, size.regions), strict=True):
         for number in range(count):
             found.append(ControlMachine(f"{region}-control-{number}", region, network.host(len(found) + 1)))
     return tuple(found)
@@ -175,20 +179,22 @@
     """Ports of one address, one after another."""
 
     def __init__(self, host: str) -> None:
-        self.host, self.next = host, REAL_PORT_FIRST
+        self.host, self.next = host, REAL_PORT_BASE
 
-    def take(self) -> Address:
+    def allocate(self) -> Address:
         self.next += 1
         return Address(self.host, self.next)
 
 
 def _zone(name: str, region: str, relays: int, real: int, network: Network, ports: _Ports) -> Zone:
     running = tuple(
-        RealRelay(f"{name}-real-{n:03d}", name, region, ports.take(), ports.take()) for n in range(real)
+        RealRelay(f"{name}-real-{n:03d}", name, region, ports.allocate(), ports.allocate())
+        for n in range(real)
     )
-    told = network.host(252)
-    hollow = tuple(
-        HollowRelay(f"{name}-relay-{n:03d}", name, Address(told, CLIENT_PORT)) for n in range(relays - real)
+    advertised_host = network.host(252)
+    stubs = tuple(
+        StubRelay(f"{name}-relay-{n:03d}", name, Address(advertised_host, CLIENT_PORT))
+        for n in range(relays - real)
     )
-    rack = min(RACK, relays // RACK_SHARE)
-    return Zone(name, region, hollow[rack:], hollow[:rack], running)
+    rack = min(RACK_RELAYS, relays // RACK_ZONE_DIVISOR)
+    return Zone(name, region, stubs[rack:], stubs[:rack], running)
--- a/benchmarks/fleet_scale/links.py
+++ b/benchmarks/fleet_scale/links.py
@@ -12,7 +12,7 @@
 
 from benchmarks.fleet_scale.protocol import Address
 
-CHUNK = 64 * 1024
+CHUNK_BYTES = 64 * 1024
 BACKLOG = 256  # connections that wait to be accepted
 
 
@@ -27,7 +27,7 @@
         self._open = asyncio.Event()
         self._open.set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self.passed = 0  # bytes
+        self.forwarded_bytes = 0  # bytes
 
     def start(self) -> None:
         """Begin to accept."""
@@ -49,40 +49,40 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         self._socket.close()
 
-    def _spawn(self, what: object) -> None:
-        task: asyncio.Task[None] = asyncio.get_running_loop().create_task(what)  # type: ignore[arg-type]
+    def _spawn(self, coroutine: object) -> None:
+        task: asyncio.Task[None] = asyncio.get_running_loop().create_task(coroutine)  # type: ignore[arg-type]
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _accept(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            near, _ = await loop.sock_accept(self._socket)
-            near.setblocking(False)
-            self._spawn(self._serve(near))
+            accepted, _ = await loop.sock_accept(self._socket)
+            accepted.setblocking(False)
+            self._spawn(self._serve(accepted))
 
-    async def _serve(self, near: socket.socket) -> None:
+    async def _serve(self, accepted: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        far = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        far.setblocking(False)
+        upstream = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        upstream.setblocking(False)
         try:
             await self._open.wait()
-            await loop.sock_connect(far, (self.target.host, self.target.port))
+            await loop.sock_connect(upstream, (self.target.host, self.target.port))
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pump(near, far))
-                group.create_task(self._pump(far, near))
+                group.create_task(self._pump(accepted, upstream))
+                group.create_task(self._pump(upstream, accepted))
         except* OSError:
             pass  # either side has broken it: so the other one hears of that
         finally:
-            near.close()
-            far.close()
+            accepted.close()
+            upstream.close()
 
     async def _pump(self, source: socket.socket, to: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        while data := await loop.sock_recv(source, CHUNK):
+        while data := await loop.sock_recv(source, CHUNK_BYTES):
             await self._open.wait()
             await loop.sock_sendall(to, data)
-            self.passed += len(data)
+            self.forwarded_bytes += len(data)
         await self._open.wait()
         with contextlib.suppress(OSError):
             to.shutdown(socket.SHUT_WR)
@@ -95,7 +95,7 @@
         self.host = host
         self._links: dict[Address, CuttableLink] = {}
 
-    def through(self, target: Address) -> Address:
+    def proxied_address(self, target: Address) -> Address:
         """The address by which the target is reached over a link that can be cut."""
         if target not in self._links:
             link = self._links[target] = CuttableLink(self.host, target)
@@ -113,9 +113,9 @@
             link.heal()
 
     @property
-    def passed(self) -> int:
+    def forwarded_bytes(self) -> int:
         """Bytes that have been passed on."""
-        return sum(link.passed for link in self._links.values())
+        return sum(link.forwarded_bytes for link in self._links.values())
 
     async def close(self) -> None:
         """End all connections."""
--- a/benchmarks/fleet_scale/looks.py
+++ b/benchmarks/fleet_scale/looks.py
@@ -19,18 +19,18 @@
 Write = Callable[[p.Record], None]
 Relays = Sequence[RunningRelay]
 
-ASKED_AT_RANDOM = 0.02  # part of the relays that are asked at each look for a key at random
-FLUSH_EVERY = 2.0  # s after which ownership that goes on is written: a host may be killed at any time
+RANDOM_QUERY_FRACTION = 0.02  # part of the relays that are asked at each look for a key at random
+FLUSH_INTERVAL_S = 2.0  # s after which ownership that goes on is written: a host may be killed at any time
 
 
-class ServiceLook:
+class ServiceRecorder:
     """When relays come into service, and when they are without a lease from then on."""
 
     def __init__(self, write: Write) -> None:
         self._write = write
-        self._acted: dict[RelayKey, float] = {}  # when each relay in service was last seen with a lease
+        self._last_acting: dict[RelayKey, float] = {}  # when each relay in service was last seen with a lease
 
-    def look(self, now: float, relays: Relays) -> None:
+    def observe(self, now: float, relays: Relays) -> None:
         """Note those that have come into service, and gaps that are over."""
         for relay in relays:
             if not relay.may_act(now):
@@ -40,21 +40,21 @@
                     continue
                 relay.in_service = True
                 self._write(p.RelayInService(now, relay.key))
-            elif relay.gap:
-                self._write(p.LeaseGap(self._acted[relay.key], now, relay.key))
-            relay.gap = False
-            self._acted[relay.key] = now
+            elif relay.without_lease:
+                self._write(p.LeaseGap(self._last_acting[relay.key], now, relay.key))
+            relay.without_lease = False
+            self._last_acting[relay.key] = now
         for relay in relays:
-            relay.gap = relay.in_service and self._acted[relay.key] < now
+            relay.without_lease = relay.in_service and self._last_acting[relay.key] < now
 
     def ended(self, now: float, relay: RunningRelay) -> None:
         """A relay ends: a gap does, too."""
-        last = self._acted.pop(relay.key, now)
-        if relay.gap:
+        last = self._last_acting.pop(relay.key, now)
+        if relay.without_lease:
             self._write(p.LeaseGap(last, now, relay.key))
 
 
-class RosterLook:
+class RosterRecorder:
     """What the host's relays know: the newest roster, and the oldest roster and counts."""
 
     def __init__(self, plan: p.HostPlan, write: Write) -> None:
@@ -65,7 +65,7 @@
         self._floor: Version | None = None
         self._count_floors: dict[str, Version | None] = {}
 
-    def look(self, now: float, relays: Relays) -> None:
+    def observe(self, now: float, relays: Relays) -> None:
         """Note a newer roster, and a newer oldest one."""
         rosters = [relay.roster for relay in relays if relay.in_service]
         known = [roster for roster in rosters if roster is not None]
@@ -87,7 +87,7 @@
         self._members = members
         self._write(p.Members(now, self._region, roster.version, digest(roster), joined, gone))
 
-    def look_at_counts(self, now: float, relays: Relays) -> None:
+    def observe_counts(self, now: float, relays: Relays) -> None:
         """Note newer oldest counts of other regions."""
         serving = [relay for relay in relays if relay.in_service]
         if not serving:
@@ -106,12 +106,12 @@
             roster = relay.roster
             rosters[(None, 0) if roster is None else (roster.version, digest(roster))] += 1
             for region in self._others:
-                counts[region, relay.count_version(region), relay.counted(region)] += 1
+                counts[region, relay.count_version(region), relay.counted_relays(region)] += 1
         self._write(
             p.Audit(
                 now, number,
-                tuple(p.Standing(self._region, version, seen, n) for (version, seen), n in rosters.items()),
-                tuple(p.Standing(region, version, seen, n) for (region, version, seen), n in counts.items()),
+                tuple(p.VersionTally(self._region, version, seen, n) for (version, seen), n in rosters.items()),
+                tuple(p.VersionTally(region, version, seen, n) for (region, version, seen), n in counts.items()),
             )
         )  # fmt: skip
 
@@ -133,55 +133,57 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _OpenInterval:
     begin: float
     end: float
 
 
-class OwnerLook:
+class OwnershipRecorder:
     """Which relays say that they own a key."""
 
     def __init__(self, plan: p.HostPlan, write: Write, random: Random) -> None:
         self._keys, self._write, self._random = plan.keys, write, random
-        self._held: dict[tuple[str, RelayKey], _Held] = {}
+        self._open_intervals: dict[tuple[str, RelayKey], _OpenInterval] = {}
 
-    def look(self, now: Callable[[], float], relays: dict[str, RunningRelay]) -> None:
+    def observe(self, now: Callable[[], float], relays: dict[str, RunningRelay]) -> None:
         """Ask those that rank high for a key, and a few relays for one key at random."""
         seen: set[tuple[str, RelayKey]] = set()
         for watch in self._keys:
             for name in watch.relays:
                 if (relay := relays.get(name)) is not None:
-                    self._ask(watch.key, relay, now(), seen)
+                    self._query(watch.key, relay, now(), seen)
         if self._keys:
-            for relay in self._random.sample(list(relays.values()), math.ceil(len(relays) * ASKED_AT_RANDOM)):
-                self._ask(self._random.choice(self._keys).key, relay, now(), seen)
-        for place in [place for place in self._held if place not in seen]:
-            self._flush(place)
-            del self._held[place]
-
-    def _ask(self, key: str, relay: RunningRelay, now: float, seen: set[tuple[str, RelayKey]]) -> None:
+            for relay in self._random.sample(
+                list(relays.values()), math.ceil(len(relays) * RANDOM_QUERY_FRACTION)
+            ):
+                self._query(self._random.choice(self._keys).key, relay, now(), seen)
+        for pair in [pair for pair in self._open_intervals if pair not in seen]:
+            self._flush(pair)
+            del self._open_intervals[pair]
+
+    def _query(self, key: str, relay: RunningRelay, now: float, seen: set[tuple[str, RelayKey]]) -> None:
         if not relay.owns(key, now):
             return
-        place = key, relay.key
-        seen.add(place)
-        held = self._held.setdefault(place, _Held(now, now))
-        held.end = now
-        if held.end - held.begin > FLUSH_EVERY:
-            self._flush(place)
-            held.begin = now
-
-    def _flush(self, place: tuple[str, RelayKey]) -> None:
-        held, (key, relay) = self._held[place], place
-        self._write(p.Ownership(held.begin, held.end, key, relay))
+        pair = key, relay.key
+        seen.add(pair)
+        interval = self._open_intervals.setdefault(pair, _OpenInterval(now, now))
+        interval.end = now
+        if interval.end - interval.begin > FLUSH_INTERVAL_S:
+            self._flush(pair)
+            interval.begin = now
+
+    def _flush(self, pair: tuple[str, RelayKey]) -> None:
+        interval, (key, relay) = self._open_intervals[pair], pair
+        self._write(p.Ownership(interval.begin, interval.end, key, relay))
 
     def finish(self) -> None:
         """Write what goes on."""
-        for place in self._held:
-            self._flush(place)
+        for pair in self._open_intervals:
+            self._flush(pair)
 
 
 @dataclass(frozen=True, slots=True)
-class _Seen:
+class _TrafficSample:
     """What the counters of a connection were at a look."""
 
     connection: object
@@ -189,37 +191,37 @@
     payload: Counts
 
 
-class TrafficLook:
+class TrafficRecorder:
     """Bytes of all relays between two looks, by the kernel's counts."""
 
     def __init__(self, write: Write, now: float) -> None:
-        self._write, self._at = write, now
-        self._seen: dict[RelayKey, _Seen] = {}
+        self._write, self._observed_at = write, now
+        self._previous: dict[RelayKey, _TrafficSample] = {}
         self._kernel_wire = self._model_wire = 0
 
-    def look(self, now: float, relays: Relays) -> None:
+    def observe(self, now: float, relays: Relays) -> None:
         """Note what was sent and received since the last look."""
-        seconds, self._at = now - self._at, now
-        wire, most, steady, joining, joining_wire = 0, 0, 0, 0, 0
-        seen: dict[RelayKey, _Seen] = {}
+        seconds, self._observed_at = now - self._observed_at, now
+        wire, peak, steady, joining, joining_wire = 0, 0, 0, 0, 0
+        seen: dict[RelayKey, _TrafficSample] = {}
         for relay in relays:
             kernel = relay.kernel_counts()
             if kernel is None:
                 continue
-            here = seen[relay.key] = _Seen(relay.connection, kernel, relay.payload_counts())
-            before = self._seen.get(relay.key)
-            if before is None or before.connection is not here.connection:
+            current = seen[relay.key] = _TrafficSample(relay.connection, kernel, relay.payload_counts())
+            before = self._previous.get(relay.key)
+            if before is None or before.connection is not current.connection:
                 joining += 1
                 joining_wire += kernel.wire
                 continue
-            took = self._between(before, here)
-            wire, most, steady = wire + took, max(most, took), steady + 1
-        self._seen = seen
-        self._write(p.Traffic(now, seconds, steady, wire, most / seconds, joining, joining_wire))
-
-    def _between(self, before: _Seen, here: _Seen) -> int:
-        wire = here.kernel.since(before.kernel).wire
-        payload = here.payload.since(before.payload)
+            wire_delta = self._wire_between(before, current)
+            wire, peak, steady = wire + wire_delta, max(peak, wire_delta), steady + 1
+        self._previous = seen
+        self._write(p.Traffic(now, seconds, steady, wire, peak / seconds, joining, joining_wire))
+
+    def _wire_between(self, before: _TrafficSample, current: _TrafficSample) -> int:
+        wire = current.kernel.since(before.kernel).wire
+        payload = current.payload.since(before.payload)
         self._kernel_wire += wire
         self._model_wire += model_wire(payload)
         return wire
--- a/benchmarks/fleet_scale/measures.py
+++ b/benchmarks/fleet_scale/measures.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class DetectionDelays:
     """Seconds from the end of a relay until all relays of its region, and all everywhere, knew."""
 
     relay: RelayKey
@@ -34,7 +34,7 @@
     everywhere: float
 
 
-def versions_of_ends(history: History) -> dict[RelayKey, Version]:
+def removal_versions(history: History) -> dict[RelayKey, Version]:
     """The first roster in which a relay is seen to be gone."""
     found: dict[RelayKey, Version] = {}
     for change in history.members:
@@ -44,7 +44,7 @@
     return found
 
 
-def reached(floors: Sequence[Floor], version: Version, after: float) -> float:
+def time_reached(floors: Sequence[Floor], version: Version, after: float) -> float:
     """When all relays of a host knew this version or a later one."""
     for floor in floors[bisect_left(floors, after, key=lambda one: one.at) :]:
         if floor.version is not None and floor.version >= version:
@@ -52,9 +52,11 @@
     return NEVER
 
 
-def ends_known(history: History, ends: Iterable[p.RelayEnded], cut_off: frozenset[str]) -> list[Known]:
+def detection_delays(
+    history: History, ends: Iterable[p.RelayEnded], cut_off: frozenset[str]
+) -> list[DetectionDelays]:
     """For each end the seconds until it was known; regions that are cut off need not know of others."""
-    versions = versions_of_ends(history)
+    versions = removal_versions(history)
     region_of = {name: host.region for host in history.hosts.values() for name in host.names}
     found = []
     for end in ends:
@@ -62,13 +64,15 @@
         version = versions.get(end.relay)
         within = elsewhere = NEVER
         if version is not None:
-            within = _last_reached(history, end.at, version, region, region, cut_off)
-            elsewhere = max(within, _last_reached(history, end.at, version, region, None, cut_off | {region}))
-        found.append(Known(end.relay, end.how, within - end.at, elsewhere - end.at))
+            within = _last_host_reached(history, end.at, version, region, region, cut_off)
+            elsewhere = max(
+                within, _last_host_reached(history, end.at, version, region, None, cut_off | {region})
+            )
+        found.append(DetectionDelays(end.relay, end.how, within - end.at, elsewhere - end.at))
     return found
 
 
-def _last_reached(
+def _last_host_reached(
     history: History,
     after: float,
     version: Version,
@@ -82,8 +86,8 @@
         if host.region != observers and (observers is not None or host.region in cut_off):
             continue
         floors = host.rosters if host.region == region else host.counts[region]
-        at = reached(floors, version, after)
-        if at > host.lost_at:
+        at = time_reached(floors, version, after)
+        if at > host.ended_at:
             continue  # it was ended itself before it could know
         last = max(last, at)
     return last
@@ -147,10 +151,10 @@
     seconds: float
 
 
-def keys_with_two_owners(owned: Iterable[p.Ownership]) -> list[TwoOwners]:
+def keys_with_two_owners(ownerships: Iterable[p.Ownership]) -> list[TwoOwners]:
     """Intervals of two relays that overlap. Ends are looks at which the relay still said so."""
     by_key: dict[str, list[p.Ownership]] = defaultdict(list)
-    for one in owned:
+    for one in ownerships:
         by_key[one.key].append(one)
     found = []
     for key, intervals in by_key.items():
@@ -167,9 +171,9 @@
     return found
 
 
-def keys_owned_at(owned: Iterable[p.Ownership], at: float) -> set[str]:
+def keys_owned_at(ownerships: Iterable[p.Ownership], at: float) -> set[str]:
     """The keys that some relay owns at a moment."""
-    return {one.key for one in owned if one.begin <= at <= one.end}
+    return {one.key for one in ownerships if one.begin <= at <= one.end}
 
 
 # What it costs.
@@ -213,15 +217,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HollowCost:
+class StubCost:
     """What a hollow relay takes: its share of its host."""
 
     cpu: float  # part of a core, without what the looks of the measurement take
-    cpu_most: float  # of the host whose relays take most
+    cpu_max: float  # of the host whose relays take most
     rss_mib: float
 
 
-def hollow_cost(history: History, window: Window) -> HollowCost:
+def stub_cost(history: History, window: Window) -> StubCost:
     """Processor and memory of a hollow relay in a window."""
     used, relay_seconds, rss, relays, most = 0.0, 0.0, 0.0, 0, 0.0
     for host in history.hosts.values():
@@ -235,8 +239,8 @@
         most = max(most, of_host / seconds)
         rss, relays = rss + last.rss_kib / 1024, relays + last.relays
     if not relays:
-        return HollowCost(NEVER, NEVER, NEVER)
-    return HollowCost(used / relay_seconds, most, rss / relays)
+        return StubCost(NEVER, NEVER, NEVER)
+    return StubCost(used / relay_seconds, most, rss / relays)
 
 
 @dataclass(frozen=True, slots=True)
@@ -244,8 +248,8 @@
     """What the processes of one kind take."""
 
     cpu_mean: float  # part of a core
-    cpu_most: float  # of one process over the window
-    rss_most_mib: float
+    cpu_max: float  # of one process over the window
+    rss_max_mib: float
 
 
 def process_cost(history: History, names: Iterable[str], window: Window) -> ProcessCost:
@@ -280,7 +284,7 @@
     last_at: float
 
     @property
-    def apart(self) -> int:
+    def disagreeing_regions(self) -> int:
         """Regions of which not all relays know the same."""
         return sum(
             1
@@ -305,7 +309,7 @@
     return Agreement(relays, dict(rosters), dict(counts), last_at)
 
 
-def rosters_that_differ(history: History) -> list[Version]:
+def conflicting_roster_versions(history: History) -> list[Version]:
     """Versions under which two hosts have seen two different rosters."""
     digests: dict[tuple[str, Version], set[int]] = defaultdict(set)
     for change in history.members:
--- a/benchmarks/fleet_scale/processes.py
+++ b/benchmarks/fleet_scale/processes.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-LINE_MOST = 1 << 20  # bytes of one line that a process writes
-KEPT_LINES = 30  # of what a process wrote to stderr, for the report of a fault
-END_WITHIN = 8.0  # s that a process has to end after SIGTERM, before it is killed
+MAX_LINE_BYTES = 1 << 20  # bytes of one line that a process writes
+STDERR_TAIL_LINES = 30  # of what a process wrote to stderr, for the report of a fault
+TERMINATE_TIMEOUT_S = 8.0  # s that a process has to end after SIGTERM, before it is killed
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 LineHandler = Callable[[bytes], None]
@@ -35,9 +35,9 @@
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name, self.process = name, process
-        self.said: deque[str] = deque(maxlen=KEPT_LINES)
-        self.ending = False  # the run has told it to end, or killed it
-        self.reading: list[asyncio.Task[None]] = []
+        self.stderr_tail: deque[str] = deque(maxlen=STDERR_TAIL_LINES)
+        self.end_expected = False  # the run has told it to end, or killed it
+        self.reader_tasks: list[asyncio.Task[None]] = []
 
     @property
     def pid(self) -> int:
@@ -73,16 +73,16 @@
 
     def kill(self) -> None:
         """End it at once."""
-        self.ending = True
+        self.end_expected = True
         self.signal(signal.SIGKILL)
 
     async def end(self) -> None:
         """Let it end in order; kill it where that takes too long."""
-        self.ending = True
+        self.end_expected = True
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(END_WITHIN):
+            async with asyncio.timeout(TERMINATE_TIMEOUT_S):
                 await self.process.wait()
         except TimeoutError:
             self.kill()
@@ -107,7 +107,7 @@
             if one.running:
                 one.kill()
         await asyncio.gather(*(one.process.wait() for one in self.all))
-        readers = [task for one in self.all for task in one.reading]
+        readers = [task for one in self.all for task in one.reader_tasks]
         await asyncio.gather(*readers, return_exceptions=True)
 
     async def start(
@@ -118,7 +118,7 @@
         scratch.mkdir(exist_ok=True)
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", *arguments,
-            env=os.environ | {"TMPDIR": str(scratch)}, limit=LINE_MOST,
+            env=os.environ | {"TMPDIR": str(scratch)}, limit=MAX_LINE_BYTES,
             stdin=asyncio.subprocess.PIPE if on_line is not None else asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.PIPE if on_line is not None else asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
@@ -126,29 +126,29 @@
         one = Process(name, process)
         self.all.append(one)
         loop = asyncio.get_running_loop()
-        one.reading.append(loop.create_task(self._keep_errors(one)))
+        one.reader_tasks.append(loop.create_task(self._collect_stderr(one)))
         if on_line is not None:
-            one.reading.append(loop.create_task(self._pass_lines(one, on_line)))
+            one.reader_tasks.append(loop.create_task(self._forward_lines(one, on_line)))
         return one
 
-    def faults(self) -> list[str]:
+    def failures(self) -> list[str]:
         """Processes that ended without being told to, with the last that each of them said."""
         found = []
         for one in self.all:
-            if one.running or one.ending:
+            if one.running or one.end_expected:
                 continue
-            last = " | ".join(list(one.said)[-3:])
+            last = " | ".join(list(one.stderr_tail)[-3:])
             found.append(f"{one.name} ended with status {one.process.returncode}: {last}")
         return found
 
     @staticmethod
-    async def _keep_errors(one: Process) -> None:
+    async def _collect_stderr(one: Process) -> None:
         assert one.process.stderr is not None
         while line := await one.process.stderr.readline():
-            one.said.append(line.decode("utf-8", "replace").strip()[:500])
+            one.stderr_tail.append(line.decode("utf-8", "replace").strip()[:500])
 
     @staticmethod
-    async def _pass_lines(one: Process, on_line: LineHandler) -> None:
+    async def _forward_lines(one: Process, on_line: LineHandler) -> None:
         assert one.process.stdout is not None
         while line := await one.process.stdout.readline():
             on_line(line)
--- a/benchmarks/fleet_scale/protocol.py
+++ b/benchmarks/fleet_scale/protocol.py
@@ -31,7 +31,7 @@
         return f"{self.host}:{self.port}"
 
 
-class HollowRelay(Struct, frozen=True):
+class StubRelay(Struct, frozen=True):
     """A relay without clients."""
 
     name: str
@@ -39,7 +39,7 @@
     address: Address  # that it tells; nobody listens there
 
 
-class KeyWatch(Struct, frozen=True):
+class SampledKey(Struct, frozen=True):
     """A key whose owners are sampled, and the host's relays that could come to own it: they rank first for it."""
 
     key: str
@@ -54,8 +54,8 @@
     regions: tuple[str, ...]
     controls: tuple[Address, ...]  # of its region
     key_file: str
-    relays: tuple[HollowRelay, ...]
-    keys: tuple[KeyWatch, ...]  # of its region
+    relays: tuple[StubRelay, ...]
+    keys: tuple[SampledKey, ...]  # of its region
     seed: int
 
 
@@ -193,7 +193,7 @@
     model_wire: int
 
 
-class Standing(Struct, frozen=True):
+class VersionTally(Struct, frozen=True):
     """Relays of a host that stand at one roster, or at one count of another region."""
 
     region: str
@@ -207,8 +207,8 @@
 
     at: float
     number: int
-    rosters: tuple[Standing, ...]
-    counts: tuple[Standing, ...]
+    rosters: tuple[VersionTally, ...]
+    counts: tuple[VersionTally, ...]
 
 
 class Cost(Struct, frozen=True, tag="cost"):
@@ -221,7 +221,7 @@
     relays: int
 
 
-class HostFault(Struct, frozen=True, tag="fault"):
+class HostFailure(Struct, frozen=True, tag="fault"):
     """Something in the host failed that must not."""
 
     at: float
@@ -230,7 +230,7 @@
 
 Record = (
     Census | Members | RosterFloor | CountFloor | RelayStarted | RelayInService | RelayEnded | LeaseGap
-    | Ownership | Traffic | TrafficModel | Audit | Cost | HostFault
+    | Ownership | Traffic | TrafficModel | Audit | Cost | HostFailure
 )  # fmt: skip
 
 commands = msgspec.json.Decoder(Command)
--- a/benchmarks/fleet_scale/records.py
+++ b/benchmarks/fleet_scale/records.py
@@ -50,7 +50,7 @@
 
     region: str
     names: frozenset[str]
-    lost_at: float = float("inf")  # when the harness ended it
+    ended_at: float = float("inf")  # when the harness ended it
     census: list[p.Census] = field(default_factory=list)
     rosters: list[Floor] = field(default_factory=list)
     counts: dict[str, list[Floor]] = field(default_factory=lambda: defaultdict(list))
@@ -72,17 +72,17 @@
     real_ended: dict[str, float] = field(default_factory=dict)  # real relays by name
     running: dict[str, RelayKey] = field(default_factory=dict)  # hollow relays by name
     gaps: list[p.LeaseGap] = field(default_factory=list)
-    owned: list[p.Ownership] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)
+    ownerships: list[p.Ownership] = field(default_factory=list)
+    failures: list[str] = field(default_factory=list)
     usage: dict[str, list[UsageSample]] = field(default_factory=lambda: defaultdict(list))
     windows: dict[str, Window] = field(default_factory=dict)  # of the phases, by their names
 
-    def take(self, host: str, line: bytes) -> None:
+    def add_line(self, host: str, line: bytes) -> None:
         """Take in a line of a host."""
         try:
             record = p.records.decode(line)
         except (msgspec.MsgspecError, ValueError) as err:
-            self.faults.append(f"{host} wrote what is no record: {err}")
+            self.failures.append(f"{host} wrote what is no record: {err}")
             return
         self._add(self.hosts[host], record)
 
@@ -102,11 +102,11 @@
             case p.RelayInService():
                 self.in_service.append(record)
             case p.RelayEnded():
-                self.end(record)
+                self.add_end(record)
             case p.LeaseGap():
                 self.gaps.append(record)
             case p.Ownership():
-                self.owned.append(record)
+                self.ownerships.append(record)
             case p.Traffic():
                 host.traffic.append(record)
             case p.TrafficModel():
@@ -115,23 +115,23 @@
                 host.audits.append(record)
             case p.Cost():
                 host.costs.append(record)
-            case p.HostFault():
-                self.faults.append(record.text)
+            case p.HostFailure():
+                self.failures.append(record.text)
 
-    def end(self, record: p.RelayEnded) -> None:
+    def add_end(self, record: p.RelayEnded) -> None:
         """Note that a relay has ended."""
         self.ended[record.relay] = record
         if self.running.get(record.relay.name) == record.relay:
             del self.running[record.relay.name]
 
-    def lose(self, host: str, at: float, how: p.Ending) -> tuple[RelayKey, ...]:
+    def add_host_end(self, host: str, at: float, how: p.Ending) -> tuple[RelayKey, ...]:
         """Note that the harness has ended a host, and with it all its relays."""
-        self.hosts[host].lost_at = at
+        self.hosts[host].ended_at = at
         lost = tuple(self.running[n] for n in self.hosts[host].names if n in self.running)
         for relay in lost:
-            self.end(p.RelayEnded(at, relay, how))
+            self.add_end(p.RelayEnded(at, relay, how))
         return lost
 
     def living_hosts(self, at: float) -> Iterator[HostHistory]:
         """Hosts that have not been ended by then."""
-        return (host for host in self.hosts.values() if host.lost_at > at)
+        return (host for host in self.hosts.values() if host.ended_at > at)
--- a/benchmarks/fleet_scale/report.py
+++ b/benchmarks/fleet_scale/report.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from benchmarks.fleet_scale.bounds import Bound, broken
+from benchmarks.fleet_scale.bounds import Bound, missed_bounds
 from benchmarks.machine import described
 
 TARGET = Path(__file__).parent.parent.parent / "docs" / "measurements" / "fleet_scale.md"
@@ -19,19 +19,19 @@
     title: str  # the size of the fleet
     command: str
     bounds: list[Bound] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)  # of the harness, the hosts and the processes
+    failures: list[str] = field(default_factory=list)  # of the harness, the hosts and the processes
     notes: list[str] = field(default_factory=list)  # how the figures were made
     phases: list[str] = field(default_factory=list)
 
     @property
     def good(self) -> bool:
-        return not self.faults and not broken(self.bounds)
+        return not self.failures and not missed_bounds(self.bounds)
 
     def last_line(self) -> str:
         """The figures in one line."""
-        kept = len(self.bounds) - len(broken(self.bounds))
+        met = len(self.bounds) - len(missed_bounds(self.bounds))
         figures = ", ".join(f"{bound.title}: {bound.unit.show(bound.value)}" for bound in self.bounds)
-        return f"fleet_scale {self.title}; {kept} of {len(self.bounds)} bounds kept; {figures}"
+        return f"fleet_scale {self.title}; {met} of {len(self.bounds)} bounds kept; {figures}"
 
 
 def table(bounds: Sequence[Bound]) -> list[str]:
@@ -55,6 +55,6 @@
         "## What was done", "", *(f"- {phase}" for phase in outcome.phases), "",
         "## How the figures are made", "", *(f"- {note}" for note in outcome.notes), "",
     ]  # fmt: skip
-    if outcome.faults:
-        lines += ["## What broke", "", *(f"- {fault}" for fault in outcome.faults), ""]
+    if outcome.failures:
+        lines += ["## What broke", "", *(f"- {failure}" for failure in outcome.failures), ""]
     return "\n".join(lines)
--- a/benchmarks/fleet_scale/run.py
+++ b/benchmarks/fleet_scale/run.py
@@ -8,19 +8,19 @@
 from pathlib import Path
 
 from benchmarks.fleet_scale import virtual
-from benchmarks.fleet_scale.fleet import Fleet, FleetFaultError
+from benchmarks.fleet_scale.fleet import Fleet, FleetStartError
 from benchmarks.fleet_scale.keys import KeyPlan
-from benchmarks.fleet_scale.layout import Layout, Network, Size, lay_out
+from benchmarks.fleet_scale.layout import Layout, Network, Size, build_layout
 from benchmarks.fleet_scale.processes import Processes
 from benchmarks.fleet_scale.report import Outcome
-from benchmarks.fleet_scale.timeline import Schedule, TimeLine
+from benchmarks.fleet_scale.timeline import Schedule, Timeline
 from benchmarks.fleet_scale.verdict import RestFigures, Verdict, rest_figures, virtual_bounds
 
-SMALL = Size(700, 7, 2, 4)  # what a relay takes is compared with a fleet of this size
+SMALL_SIZE = Size(700, 7, 2, 4)  # what a relay takes is compared with a fleet of this size
 SMALL_REAL = 2
-SMALL_START = 8.0  # s over which its relays are started
-KEYS = 200
-CUT_LEAST = 2  # regions, where one can be cut off
+SMALL_START_S = 8.0  # s over which its relays are started
+KEY_COUNT = 200
+MIN_REGIONS_FOR_CUT = 2  # regions, where one can be cut off
 
 NOTES = (
     "Control machines and real relays are processes of the program; hollow relays are its attachment and its "
@@ -41,7 +41,7 @@
 VIRTUAL_NOTE = (
     f"Virtual time: {virtual.REGIONS} regions of {virtual.MACHINES} control machines; "
     f"{virtual.RELAYS_UNDER_LOSS} relays each under loss, in {virtual.SLICES} parts of their own seeds; "
-    f"{virtual.RELAYS_CUT} each in the cut, {virtual.VICTIMS} of which die while it lasts."
+    f"{virtual.RELAYS_IN_CUT} each in the cut, {virtual.KILLED_PER_REGION} of which die while it lasts."
 )
 
 
@@ -62,12 +62,12 @@
     """Play it; what broke is in the outcome."""
     small = None
     if request.compare:
-        small = await _small_at_rest(request)
+        small = await _run_small_fleet(request)
     outcome = Outcome(_title(request.size), request.command, notes=list(NOTES))
     with tempfile.TemporaryDirectory(prefix="violetdoor-fleet-scale-") as folder:
-        await _play(request, Path(folder), small, outcome)
+        await _run_fleet(request, Path(folder), small, outcome)
     if request.virtual:
-        outcome.bounds += virtual_bounds(await asyncio.to_thread(virtual.play, request.seed))
+        outcome.bounds += virtual_bounds(await asyncio.to_thread(virtual.run_both, request.seed))
         outcome.notes.append(VIRTUAL_NOTE)
     return outcome
 
@@ -78,39 +78,39 @@
     )
 
 
-async def _play(request: Request, folder: Path, small: RestFigures | None, outcome: Outcome) -> None:
+async def _run_fleet(request: Request, folder: Path, small: RestFigures | None, outcome: Outcome) -> None:
     network = Network()
-    layout = lay_out(request.size, network, request.real)
-    cut_region = layout.regions[-1] if len(layout.regions) >= CUT_LEAST else None
+    layout = build_layout(request.size, network, request.real)
+    cut_region = layout.regions[-1] if len(layout.regions) >= MIN_REGIONS_FOR_CUT else None
     try:
         async with Processes() as processes:
             fleet = _fleet(layout, network, folder, processes, request.seed, cut_region)
-            line = TimeLine(fleet, request.schedule)
+            timeline = Timeline(fleet, request.schedule)
             try:
-                await line.play()
-            except FleetFaultError as err:
-                outcome.faults.append(str(err))
+                await timeline.run()
+            except FleetStartError as err:
+                outcome.failures.append(str(err))
             finally:
                 await fleet.close()
-            outcome.faults += processes.faults() + fleet.history.faults
+            outcome.failures += processes.failures() + fleet.history.failures
     finally:
         network.close()
-    outcome.phases = line.played.steps
-    if not outcome.faults:
-        outcome.bounds = Verdict(fleet, line.played, small).bounds()
+    outcome.phases = timeline.result.steps
+    if not outcome.failures:
+        outcome.bounds = Verdict(fleet, timeline.result, small).bounds()
 
 
-async def _small_at_rest(request: Request) -> RestFigures:
+async def _run_small_fleet(request: Request) -> RestFigures:
     """What a relay takes at rest in a small fleet."""
     network = Network()
-    layout = lay_out(SMALL, network, SMALL_REAL)
+    layout = build_layout(SMALL_SIZE, network, SMALL_REAL)
     try:
         with tempfile.TemporaryDirectory(prefix="violetdoor-fleet-scale-") as folder:
             async with Processes() as processes:
                 fleet = _fleet(layout, network, Path(folder), processes, request.seed, None)
-                line = TimeLine(fleet, replace(request.schedule, start=SMALL_START))
+                timeline = Timeline(fleet, replace(request.schedule, start=SMALL_START_S))
                 try:
-                    await line.rest_alone()
+                    await timeline.run_rest_only()
                 finally:
                     await fleet.close()
                 return rest_figures(fleet)
@@ -121,4 +121,4 @@
 def _fleet(
     layout: Layout, network: Network, folder: Path, processes: Processes, seed: int, cut_region: str | None
 ) -> Fleet:
-    return Fleet(layout, network, folder, processes, KeyPlan(layout, KEYS), seed, cut_region)
+    return Fleet(layout, network, folder, processes, KeyPlan(layout, KEY_COUNT), seed, cut_region)
--- a/benchmarks/fleet_scale/timeline.py
+++ b/benchmarks/fleet_scale/timeline.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from benchmarks.fleet_scale import protocol as p
-from benchmarks.fleet_scale.fleet import Fleet, FleetFaultError
+from benchmarks.fleet_scale.fleet import Fleet, FleetStartError
 from benchmarks.fleet_scale.layout import ControlMachine, Zone
 from benchmarks.fleet_scale.measures import NEVER, Agreement, agreement
 from benchmarks.fleet_scale.records import Window
@@ -18,17 +18,17 @@
 
 log = logging.getLogger("fleet_scale")
 
-RESTARTS_A_DAY = 3900  # of 5,600 relays
+RESTARTS_PER_DAY = 3900  # of 5,600 relays
 DAY = 86_400.0  # s
-PACE = 100.0  # times as fast as the day's restarts come
-RELAYS_OF_THE_DAY = 5600
-RESTARTS_LEAST = 4  # also where so few relays would have fewer at that pace
-DOWN_FOR = 0.2  # s that a restarted relay is away
+RESTART_SPEEDUP = 100.0  # times as fast as the day's restarts come
+RELAYS_OF_RESTARTS_PER_DAY = 5600
+MIN_RESTARTS = 4  # also where so few relays would have fewer at that pace
+RESTART_DOWNTIME_S = 0.2  # s that a restarted relay is away
 ENDINGS: tuple[p.Ending, ...] = ("closed", "silent", "left")
-AUDIT_EVERY = 0.5  # s
-HEALED_LEAST = 4.0  # s after a healing in which bytes are looked at
-FIRST_WITHIN = 90.0  # s until all relays are in service after the start
-MAJORITY_AFTER_TWO = 5  # machines of a group that goes on with two of them dead
+AUDIT_INTERVAL_S = 0.5  # s
+MIN_HEALED_S = 4.0  # s after a healing in which bytes are looked at
+FLEET_START_TIMEOUT_S = 90.0  # s until all relays are in service after the start
+MIN_GROUP_FOR_TWO_DEATHS = 5  # machines of a group that goes on with two of them dead
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
 
 
 @dataclass
-class Played:
+class TimelineResult:
     """What was done, for the measures."""
 
     single_ends: list[str] = field(default_factory=list)  # names of relays that were ended one by one
@@ -68,20 +68,20 @@
     steps: list[str] = field(default_factory=list)
 
 
-class TimeLine:
+class Timeline:
     """Plays a schedule on a fleet."""
 
     def __init__(self, fleet: Fleet, schedule: Schedule) -> None:
         self.fleet, self.schedule = fleet, schedule
         self.random = Random(fleet.seed)
-        self.played = Played()
+        self.result = TimelineResult()
         regions = fleet.layout.regions
         # Roles of regions: with ten each has its own, with two the first takes all faults but the cut.
-        self.rack_zone, self.dead_zone = self._zones(regions)
-        self.kill_region = self._largest_group(regions[2:-1] or regions[:1])
+        self.rack_zone, self.dead_zone = self._choose_zones(regions)
+        self.control_kill_region = self._largest_group(regions[2:-1] or regions[:1])
         self.cut_region = fleet.cut_region
 
-    def _zones(self, regions: Sequence[str]) -> tuple[Zone, Zone]:
+    def _choose_zones(self, regions: Sequence[str]) -> tuple[Zone, Zone]:
         first = self.fleet.layout.zones_of(regions[0])[0]
         second = self.fleet.layout.zones_of(regions[1 if len(regions) > 2 else 0])[-1]
         return first, second
@@ -99,10 +99,10 @@
             self.fleet.history.windows[name] = Window(begin, p.shared_clock())
 
     def _step(self, text: str) -> None:
-        self.played.steps.append(text)
+        self.result.steps.append(text)
         log.info("%s", text)
 
-    async def play(self) -> Played:
+    async def run(self) -> TimelineResult:
         """All phases; FleetFaultError where the fleet does not come up."""
         await self.begin()
         async with self._phase("rest"):
@@ -118,9 +118,9 @@
                 await asyncio.gather(self.cut(), self.kill_controls())
             async with self._phase("healed"):
                 await self.heal()
-        return self.played
+        return self.result
 
-    async def rest_alone(self) -> None:
+    async def run_rest_only(self) -> None:
         """The start and a rest, and nothing else."""
         await self.begin()
         async with self._phase("rest"):
@@ -133,9 +133,9 @@
         log.info("control machines run, %.1f s", p.shared_clock() - begin)
         await asyncio.gather(self.fleet.start_hosts(self.schedule.start), self.fleet.start_real())
         log.info("hosts and real relays run, %.1f s", p.shared_clock() - begin)
-        if not await self.fleet.wait_for(self.fleet.all_begun, FIRST_WITHIN):
-            raise FleetFaultError(
-                f"not all relays are in service within {FIRST_WITHIN:g} s: {self._missing()}"
+        if not await self.fleet.wait_for(self.fleet.all_started, FLEET_START_TIMEOUT_S):
+            raise FleetStartError(
+                f"not all relays are in service within {FLEET_START_TIMEOUT_S:g} s: {self._missing()}"
             )
         self._step(
             f"All started, over {self.schedule.start:g} s; in service after {p.shared_clock() - begin:.0f} s."
@@ -145,24 +145,30 @@
     def _missing(self) -> str:
         census = [host.census[-1] for host in self.fleet.history.hosts.values() if host.census]
         running, acting = sum(c.running for c in census), sum(c.acting for c in census)
-        return f"{running} run, {acting} hold a lease; {'; '.join(self.fleet.processes.faults())}"
+        return f"{running} run, {acting} hold a lease; {'; '.join(self.fleet.processes.failures())}"
 
     async def churn(self) -> None:
         """Restarts in order, at the pace of a day played faster."""
-        rate = PACE * RESTARTS_A_DAY / DAY * self.fleet.layout.size.relays / RELAYS_OF_THE_DAY
-        count = max(RESTARTS_LEAST, round(rate * self.schedule.churn))
+        rate = (
+            RESTART_SPEEDUP
+            * RESTARTS_PER_DAY
+            / DAY
+            * self.fleet.layout.size.relays
+            / RELAYS_OF_RESTARTS_PER_DAY
+        )
+        count = max(MIN_RESTARTS, round(rate * self.schedule.churn))
         names = sorted(self.fleet.history.running)
         chosen = self.random.sample(names, count)
         for name in chosen:
-            self.fleet.restart_relay(name, DOWN_FOR)
+            self.fleet.restart_relay(name, RESTART_DOWNTIME_S)
             await asyncio.sleep(self.schedule.churn / count)
         self._step(f"{count} relays restarted one by one, over {self.schedule.churn:g} s.")
 
     async def single_ends(self) -> None:
         """Relays that die with their process, die with their machine, or leave, in all regions in turn."""
-        living = {region: self.fleet.living(region) for region in self.fleet.layout.regions}
+        living = {region: self.fleet.running_stubs(region) for region in self.fleet.layout.regions}
         spared = {
-            relay.name for zone in (self.rack_zone, self.dead_zone) for relay in (*zone.rack, *zone.hollow)
+            relay.name for zone in (self.rack_zone, self.dead_zone) for relay in (*zone.rack, *zone.stubs)
         }
         regions = [r for r, names in living.items() if set(names) - spared]
         for number in range(self.schedule.single_ends):
@@ -171,7 +177,7 @@
                 name = self.random.choice([n for n in living[region] if n not in spared])
                 living[region].remove(name)
                 self.fleet.end_relay(name, how)
-                self.played.single_ends.append(name)
+                self.result.single_ends.append(name)
                 await asyncio.sleep(self.schedule.spacing)
         self._step(
             f"{self.schedule.single_ends} relays each, in all regions in turn: the process died, the machine died, "
@@ -180,31 +186,31 @@
 
     async def many_ends(self) -> None:
         """A rack's machines die in one region, a zone's processes in another one."""
-        self.played.rack = self.fleet.stop_rack(self.rack_zone)
-        self.played.zone = self.fleet.kill_zone(self.dead_zone)
+        self.result.rack = self.fleet.stop_rack(self.rack_zone)
+        self.result.zone = self.fleet.kill_zone(self.dead_zone)
         self._step(
-            f"At once: a rack's {len(self.played.rack)} relays went silent in {self.rack_zone.region}, and the "
-            f"{len(self.played.zone)} of a zone died in {self.dead_zone.region}; {self.schedule.known:g} s to know."
+            f"At once: a rack's {len(self.result.rack)} relays went silent in {self.rack_zone.region}, and the "
+            f"{len(self.result.zone)} of a zone died in {self.dead_zone.region}; {self.schedule.known:g} s to know."
         )
         await asyncio.sleep(self.schedule.known)
 
     async def cut(self) -> None:
         """Cut a region off, for a while."""
         assert self.cut_region is not None
-        self.played.cut_region = self.cut_region
-        self.played.cut_at = p.shared_clock()
+        self.result.cut_region = self.cut_region
+        self.result.cut_at = p.shared_clock()
         self.fleet.links.cut()
         await asyncio.sleep(self.schedule.cut)
         self._step(f"{self.cut_region} was cut off from all others for {self.schedule.cut:g} s.")
 
     async def kill_controls(self) -> None:
         """Meanwhile kill a control machine of another region, and of a group of five a second one."""
-        group = self.fleet.layout.group(self.kill_region)
-        self.played.killed_region = self.kill_region
-        self.played.first_kill = await self._kill_control(group[0], self.schedule.second_kill)
-        text = f"One control machine of {len(group)} was killed in {self.kill_region}"
-        if len(group) >= MAJORITY_AFTER_TWO:
-            self.played.second_kill = await self._kill_control(group[1], self.schedule.second_kill)
+        group = self.fleet.layout.group(self.control_kill_region)
+        self.result.killed_region = self.control_kill_region
+        self.result.first_kill = await self._kill_control(group[0], self.schedule.second_kill)
+        text = f"One control machine of {len(group)} was killed in {self.control_kill_region}"
+        if len(group) >= MIN_GROUP_FOR_TWO_DEATHS:
+            self.result.second_kill = await self._kill_control(group[1], self.schedule.second_kill)
             text += f", a second one {self.schedule.second_kill:g} s later"
         self._step(text + ".")
 
@@ -219,14 +225,14 @@
         self.fleet.links.heal()
         healed_at = p.shared_clock()
         while True:
-            await asyncio.sleep(AUDIT_EVERY)
+            await asyncio.sleep(AUDIT_INTERVAL_S)
             stands = agreement(self.fleet.history, await self.fleet.audit())
-            if stands.apart == 0 or p.shared_clock() - healed_at > self.schedule.agree:
+            if stands.disagreeing_regions == 0 or p.shared_clock() - healed_at > self.schedule.agree:
                 break
-        await asyncio.sleep(max(0.0, healed_at + HEALED_LEAST - p.shared_clock()))
-        self.played.agreement = stands
-        self.played.agreed_after = stands.last_at - healed_at if stands.apart == 0 else NEVER
+        await asyncio.sleep(max(0.0, healed_at + MIN_HEALED_S - p.shared_clock()))
+        self.result.agreement = stands
+        self.result.agreed_after = stands.last_at - healed_at if stands.disagreeing_regions == 0 else NEVER
         self._step(
-            f"Healed; all relays were asked for their rosters and counts every {AUDIT_EVERY:g} s, for "
+            f"Healed; all relays were asked for their rosters and counts every {AUDIT_INTERVAL_S:g} s, for "
             f"{self.schedule.agree:g} s at the most."
         )
--- a/benchmarks/fleet_scale/traffic.py
+++ b/benchmarks/fleet_scale/traffic.py
@@ -14,9 +14,9 @@
 import struct
 from dataclasses import dataclass
 
-HEADER = 40  # bytes of IPv4 and TCP without options
-TIMESTAMPS = 12  # bytes of the TCP option that Linux sends by default
-SEGMENT = 1448  # bytes of payload in one segment on Ethernet, with timestamps
+HEADER_BYTES = 40  # bytes of IPv4 and TCP without options
+TIMESTAMP_OPTION_BYTES = 12  # bytes of the TCP option that Linux sends by default
+SEGMENT_PAYLOAD_BYTES = 1448  # bytes of payload in one segment on Ethernet, with timestamps
 TCP_INFO_SIZE = 232
 # Offsets in struct tcp_info of <linux/tcp.h>
 _BYTES_ACKED, _BYTES_RECEIVED, _SEGMENTS_OUT, _SEGMENTS_IN = 120, 128, 136, 140
@@ -43,9 +43,9 @@
     @property
     def wire(self) -> int:
         """Bytes with headers, both ways."""
-        header = HEADER + TIMESTAMPS
-        segments = max(self.segments_out, -(-self.bytes_out // SEGMENT))
-        segments += max(self.segments_in, -(-self.bytes_in // SEGMENT))
+        header = HEADER_BYTES + TIMESTAMP_OPTION_BYTES
+        segments = max(self.segments_out, -(-self.bytes_out // SEGMENT_PAYLOAD_BYTES))
+        segments += max(self.segments_in, -(-self.bytes_in // SEGMENT_PAYLOAD_BYTES))
         return self.bytes_out + self.bytes_in + header * segments
 
 
@@ -63,6 +63,8 @@
     What a relay sends is acknowledged by what is sent back, which takes no segment of its own; what it
     receives is not answered at once and takes one.
     """
-    sent = max(payload.segments_out, -(-payload.bytes_out // SEGMENT))
-    received = max(payload.segments_in, -(-payload.bytes_in // SEGMENT))
-    return payload.bytes_out + payload.bytes_in + (HEADER + TIMESTAMPS) * (sent + 2 * received)
+    sent = max(payload.segments_out, -(-payload.bytes_out // SEGMENT_PAYLOAD_BYTES))
+    received = max(payload.segments_in, -(-payload.bytes_in // SEGMENT_PAYLOAD_BYTES))
+    return (
+        payload.bytes_out + payload.bytes_in + (HEADER_BYTES + TIMESTAMP_OPTION_BYTES) * (sent + 2 * received)
+    )
--- a/benchmarks/fleet_scale/verdict.py
+++ b/benchmarks/fleet_scale/verdict.py
@@ -6,26 +6,38 @@
 from dataclasses import dataclass
 
 from benchmarks.fleet_scale import measures as m
-from benchmarks.fleet_scale.bounds import COUNT, KILOBYTES_A_SECOND, MEBIBYTES, PART, SECONDS, Bound, Unit
+from benchmarks.fleet_scale.bounds import (
+    COUNT,
+    KILOBYTES_PER_SECOND,
+    MEBIBYTES,
+    PERCENT,
+    SECONDS,
+    Bound,
+    Unit,
+)
 from benchmarks.fleet_scale.fleet import Fleet
 from benchmarks.fleet_scale.records import Window
-from benchmarks.fleet_scale.timeline import PACE, Played
+from benchmarks.fleet_scale.timeline import RESTART_SPEEDUP, TimelineResult
 from benchmarks.fleet_scale.virtual import LOSS, VirtualFigures
 from violetdoor.control.messages import RelayKey
 
-RELAY_BYTES, RELAY_CPU, RELAY_MEMORY = 6000.0, 0.049, 128.0  # bytes a second, part of a core, MiB
-AIMED_PART = 0.25  # of these, to be aimed at
-GROWTH = 0.15  # from the small fleet to the large one
-PEAK_TIMES = 5.0  # the budget of bytes, after a healing
-DEATH_IN_REGION, DEATH_EVERYWHERE = 5.0, 17.0  # s, p99
-LEFT_IN_REGION, LEFT_EVERYWHERE = 1.0, 5.0
-MANY_IN_REGION = 10.0
-IN_SERVICE = 3.0
-AGREED_WITHIN = 10.0
-GAP_AFTER_TWO = 6.0
-CONTROL_CPU, CONTROL_MEMORY = 1.0, 512.0
-LOOK_SLACK = 0.5  # s by which a record's time may be later than what it tells of
-MODEL_ERROR = 0.25  # of the headers' model against the kernel's counts
+RELAY_BYTES_PER_S, RELAY_CPU_CORES, RELAY_MEMORY_MIB = (
+    6000.0,
+    0.049,
+    128.0,
+)  # bytes a second, part of a core, MiB
+AIM_FRACTION = 0.25  # of these, to be aimed at
+MAX_GROWTH = 0.15  # from the small fleet to the large one
+HEALED_PEAK_FACTOR = 5.0  # the budget of bytes, after a healing
+DEATH_IN_REGION_S, DEATH_EVERYWHERE_S = 5.0, 17.0  # s, p99
+LEFT_IN_REGION_S, LEFT_EVERYWHERE_S = 1.0, 5.0
+MANY_IN_REGION_S = 10.0
+IN_SERVICE_S = 3.0
+AGREED_WITHIN_S = 10.0
+GAP_AFTER_TWO_S = 6.0
+CONTROL_CPU_CORES, CONTROL_MEMORY_MIB = 1.0, 512.0
+RECORD_LAG_S = 0.5  # s by which a record's time may be later than what it tells of
+MAX_MODEL_ERROR = 0.25  # of the headers' model against the kernel's counts
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,8 +45,8 @@
     """What a relay takes while nothing happens, at one size of the fleet."""
 
     relays: int
-    bytes_a_second: float
-    hollow: m.HollowCost
+    bytes_per_second: float
+    stub: m.StubCost
     real: m.ProcessCost
 
 
@@ -44,7 +56,7 @@
     return RestFigures(
         fleet.layout.size.relays,
         m.relay_traffic(history, rest).mean,
-        m.hollow_cost(history, rest),
+        m.stub_cost(history, rest),
         m.process_cost(history, [relay.name for relay in fleet.layout.real], rest),
     )
 
@@ -60,10 +72,10 @@
         Bound(
             f"all relays know one roster of each region after {cut_for}",
             SECONDS,
-            AGREED_WITHIN,
+            AGREED_WITHIN_S,
             cut.agreed_after,
         ),
-        Bound(f"keys with two owners in {cut_for}", COUNT, 0, cut.two_owners, cut.owned),
+        Bound(f"keys with two owners in {cut_for}", COUNT, 0, cut.two_owners, cut.ownerships),
         Bound(f"relays that lost a lease in {cut_for}", COUNT, 0, cut.lost_leases),
     ]
 
@@ -71,8 +83,8 @@
 class Verdict:
     """All bounds of one run."""
 
-    def __init__(self, fleet: Fleet, played: Played, small: RestFigures | None) -> None:
-        self.fleet, self.history, self.played, self.small = fleet, fleet.history, played, small
+    def __init__(self, fleet: Fleet, result: TimelineResult, small: RestFigures | None) -> None:
+        self.fleet, self.history, self.result, self.small = fleet, fleet.history, result, small
 
     def bounds(self) -> list[Bound]:
         """Each figure with its bound, in the order of the table."""
@@ -94,33 +106,38 @@
         history = self.history
         rest, churn = history.windows["rest"], history.windows["churn"]
         traffic, busy = m.relay_traffic(history, rest), m.relay_traffic(history, churn)
-        cost, busy_cost = m.hollow_cost(history, rest), m.hollow_cost(history, churn)
+        cost, busy_cost = m.stub_cost(history, rest), m.stub_cost(history, churn)
         samples = sum(len(host.traffic) for host in history.hosts.values())
-        yield _of_relay("bytes of a relay at rest", KILOBYTES_A_SECOND, RELAY_BYTES, traffic.mean, samples)
-        yield _of_relay(
-            "bytes of a relay on an ordinary day", KILOBYTES_A_SECOND, RELAY_BYTES,
-            _ordinary(traffic.mean, busy.mean), samples, "rest, and a hundredth of what restarts at 100 times the pace add",
+        yield _relay_bound(
+            "bytes of a relay at rest", KILOBYTES_PER_SECOND, RELAY_BYTES_PER_S, traffic.mean, samples
+        )
+        yield _relay_bound(
+            "bytes of a relay on an ordinary day", KILOBYTES_PER_SECOND, RELAY_BYTES_PER_S,
+            _ordinary_day(traffic.mean, busy.mean), samples, "rest, and a hundredth of what restarts at 100 times the pace add",
         )  # fmt: skip
-        yield _of_relay("processor of a relay at rest", PART, RELAY_CPU, cost.cpu)
-        yield _of_relay(
-            "processor of a relay on an ordinary day", PART, RELAY_CPU, _ordinary(cost.cpu, busy_cost.cpu)
+        yield _relay_bound("processor of a relay at rest", PERCENT, RELAY_CPU_CORES, cost.cpu)
+        yield _relay_bound(
+            "processor of a relay on an ordinary day",
+            PERCENT,
+            RELAY_CPU_CORES,
+            _ordinary_day(cost.cpu, busy_cost.cpu),
         )
-        yield _of_relay("memory of a hollow relay", MEBIBYTES, RELAY_MEMORY, cost.rss_mib)
+        yield _relay_bound("memory of a hollow relay", MEBIBYTES, RELAY_MEMORY_MIB, cost.rss_mib)
         yield from self._real_relays(rest)
 
     def _real_relays(self, rest: Window) -> Iterable[Bound]:
         names = [relay.name for relay in self.fleet.layout.real]
         cost = m.process_cost(self.history, names, rest)
         alone = m.process_cost(self.history, [self.fleet.unattached], rest)
-        yield _of_relay(
-            "memory of a real relay, all its parts", MEBIBYTES, RELAY_MEMORY, cost.rss_most_mib, len(names)
+        yield _relay_bound(
+            "memory of a real relay, all its parts", MEBIBYTES, RELAY_MEMORY_MIB, cost.rss_max_mib, len(names)
         )
-        added = cost.rss_most_mib - alone.rss_most_mib
-        yield _of_relay(
-            "memory that the attachment adds to a real relay", MEBIBYTES, RELAY_MEMORY, added, len(names)
+        added = cost.rss_max_mib - alone.rss_max_mib
+        yield _relay_bound(
+            "memory that the attachment adds to a real relay", MEBIBYTES, RELAY_MEMORY_MIB, added, len(names)
         )
-        yield _of_relay(
-            "processor of a real relay, all its parts", PART, RELAY_CPU, cost.cpu_most, len(names)
+        yield _relay_bound(
+            "processor of a real relay, all its parts", PERCENT, RELAY_CPU_CORES, cost.cpu_max, len(names)
         )
 
     def _growth(self) -> Iterable[Bound]:
@@ -129,69 +146,75 @@
         large = rest_figures(self.fleet)
         span = f"from {self.small.relays:,} to {large.relays:,} relays"
         yield Bound(
-            f"growth of a relay's bytes {span}", PART, GROWTH,
-            large.bytes_a_second / self.small.bytes_a_second - 1.0,
+            f"growth of a relay's bytes {span}", PERCENT, MAX_GROWTH,
+            large.bytes_per_second / self.small.bytes_per_second - 1.0,
         )  # fmt: skip
         yield Bound(
             f"growth of a relay's processor {span}",
-            PART,
-            GROWTH,
-            large.hollow.cpu / self.small.hollow.cpu - 1.0,
+            PERCENT,
+            MAX_GROWTH,
+            large.stub.cpu / self.small.stub.cpu - 1.0,
         )
         yield Bound(
-            f"growth of a real relay's memory {span}", PART, GROWTH,
-            large.real.rss_most_mib / self.small.real.rss_most_mib - 1.0,
+            f"growth of a real relay's memory {span}", PERCENT, MAX_GROWTH,
+            large.real.rss_max_mib / self.small.real.rss_max_mib - 1.0,
         )  # fmt: skip
 
     # Ends.
 
     def _single_ends(self) -> Iterable[Bound]:
-        singles = frozenset(self.played.single_ends)
-        before_cut = self.played.cut_at or m.NEVER
+        singles = frozenset(self.result.single_ends)
+        before_cut = self.result.cut_at or m.NEVER
         ends = [e for e in self.history.ended.values() if e.at < before_cut]
         deaths = [e for e in ends if e.relay.name in singles and e.how != "left"]
         left = [e for e in ends if e.how == "left"]
-        known = m.ends_known(self.history, deaths, frozenset())
-        yield _p99("a death known in its region, p99", DEATH_IN_REGION, [k.region for k in known])
-        yield _p99("a death known everywhere, p99", DEATH_EVERYWHERE, [k.everywhere for k in known])
-        known = m.ends_known(self.history, left, frozenset())
-        yield _p99("an orderly end known in its region, p99", LEFT_IN_REGION, [k.region for k in known])
-        yield _p99("an orderly end known everywhere, p99", LEFT_EVERYWHERE, [k.everywhere for k in known])
+        known = m.detection_delays(self.history, deaths, frozenset())
+        yield _p99_bound("a death known in its region, p99", DEATH_IN_REGION_S, [k.region for k in known])
+        yield _p99_bound("a death known everywhere, p99", DEATH_EVERYWHERE_S, [k.everywhere for k in known])
+        known = m.detection_delays(self.history, left, frozenset())
+        yield _p99_bound(
+            "an orderly end known in its region, p99", LEFT_IN_REGION_S, [k.region for k in known]
+        )
+        yield _p99_bound(
+            "an orderly end known everywhere, p99", LEFT_EVERYWHERE_S, [k.everywhere for k in known]
+        )
 
     def _many_ends(self) -> Iterable[Bound]:
-        yield self._all_known("a rack", self.played.rack)
-        yield self._all_known("a zone", self.played.zone)
+        yield self._all_known("a rack", self.result.rack)
+        yield self._all_known("a zone", self.result.zone)
 
     def _all_known(self, what: str, relays: Sequence[RelayKey]) -> Bound:
         ends = [self.history.ended[relay] for relay in relays]
-        delays = [known.region for known in m.ends_known(self.history, ends, frozenset())]
+        delays = [known.region for known in m.detection_delays(self.history, ends, frozenset())]
         title = f"{what} of {len(relays)} gone at once, known in its region, the last one"
-        return Bound(title, SECONDS, MANY_IN_REGION, max(delays, default=m.NEVER), len(delays))
+        return Bound(title, SECONDS, MANY_IN_REGION_S, max(delays, default=m.NEVER), len(delays))
 
     # Starts.
 
     def _restarts(self) -> Iterable[Bound]:
         churn = self.history.windows["churn"]
-        window = Window(churn.begin, churn.end + LOOK_SLACK)
+        window = Window(churn.begin, churn.end + RECORD_LAG_S)
         times = m.service_times(self.history, window)
-        yield _p99(f"a restart is in, at {PACE:g} times the day's pace, p99", IN_SERVICE, times)
-        late = sum(1 for took in times if took > 2 * IN_SERVICE)
-        yield Bound(f"restarts that were not in after {2 * IN_SERVICE:g} s", COUNT, 0, late, len(times))
+        yield _p99_bound(
+            f"a restart is in, at {RESTART_SPEEDUP:g} times the day's pace, p99", IN_SERVICE_S, times
+        )
+        late = sum(1 for took in times if took > 2 * IN_SERVICE_S)
+        yield Bound(f"restarts that were not in after {2 * IN_SERVICE_S:g} s", COUNT, 0, late, len(times))
 
     # Control machines.
 
     def _control_deaths(self) -> Iterable[Bound]:
-        regions = frozenset({self.played.killed_region})
-        observed = len(m.hosts_of(self.history, self.played.killed_region))
-        if self.played.first_kill is not None:
-            gaps = m.lease_gaps(self.history, self.played.first_kill, regions)
+        regions = frozenset({self.result.killed_region})
+        observed = len(m.hosts_of(self.history, self.result.killed_region))
+        if self.result.first_kill is not None:
+            gaps = m.lease_gaps(self.history, self.result.first_kill, regions)
             yield Bound("leases lost when a control machine is killed", COUNT, 0, len(gaps), observed)
-        if self.played.second_kill is not None:
-            gaps = m.lease_gaps(self.history, self.played.second_kill, regions)
+        if self.result.second_kill is not None:
+            gaps = m.lease_gaps(self.history, self.result.second_kill, regions)
             longest = max((gap.end - gap.begin for gap in gaps), default=0.0)
             title = "longest time without a lease when a second of five is killed"
             yield Bound(
-                title, SECONDS, GAP_AFTER_TWO, longest, observed, note=f"{len(gaps)} relays lost theirs"
+                title, SECONDS, GAP_AFTER_TWO_S, longest, observed, note=f"{len(gaps)} relays lost theirs"
             )
 
     def _control_cost(self) -> Iterable[Bound]:
@@ -201,26 +224,26 @@
         costs = [
             m.process_cost(self.history, names, w) for w in (windows["rest"], windows["churn"], from_ends)
         ]
-        cpu, rss = max(c.cpu_most for c in costs), max(c.rss_most_mib for c in costs)
+        cpu, rss = max(c.cpu_max for c in costs), max(c.rss_max_mib for c in costs)
         yield Bound(
             "processor of a control machine, the most at rest, in restarts or from then on",
-            PART,
-            CONTROL_CPU,
+            PERCENT,
+            CONTROL_CPU_CORES,
             cpu,
             len(names),
         )
-        yield Bound("memory of a control machine, the most", MEBIBYTES, CONTROL_MEMORY, rss, len(names))
+        yield Bound("memory of a control machine, the most", MEBIBYTES, CONTROL_MEMORY_MIB, rss, len(names))
 
     # A cut.
 
     def _cut(self) -> Iterable[Bound]:
-        stands = self.played.agreement
-        if stands is None:
+        agreement = self.result.agreement
+        if agreement is None:
             return
-        history, region = self.history, self.played.cut_region
+        history, region = self.history, self.result.cut_region
         title = "all relays know one roster of each region after the healing"
-        note = f"{stands.apart} regions apart" if stands.apart else ""
-        yield Bound(title, SECONDS, AGREED_WITHIN, self.played.agreed_after, stands.relays, note=note)
+        note = f"{agreement.disagreeing_regions} regions apart" if agreement.disagreeing_regions else ""
+        yield Bound(title, SECONDS, AGREED_WITHIN_S, self.result.agreed_after, agreement.relays, note=note)
         cut = history.windows["cut"]
         gaps = m.lease_gaps(history, cut, frozenset({region}))
         yield Bound(
@@ -232,7 +255,7 @@
         )
         healed = m.relay_traffic(history, history.windows["healed"])
         yield Bound(
-            "most bytes of one relay after the healing", KILOBYTES_A_SECOND, PEAK_TIMES * RELAY_BYTES,
+            "most bytes of one relay after the healing", KILOBYTES_PER_SECOND, HEALED_PEAK_FACTOR * RELAY_BYTES_PER_S,
             healed.peak, len(history.hosts),
         )  # fmt: skip
 
@@ -240,16 +263,16 @@
 
     def _always(self) -> Iterable[Bound]:
         history = self.history
-        two = m.keys_with_two_owners(history.owned)
-        yield Bound("keys with two owners, in the whole run", COUNT, 0, len(two), len(history.owned))
-        at = history.windows["rest"].end - LOOK_SLACK  # the first restart comes right at the end
-        hollow = {name for host in history.hosts.values() for name in host.names}
-        wanted = {key for key in self.fleet.keys.keys if self.fleet.keys.first(key) in hollow}
-        missing = wanted - m.keys_owned_at(history.owned, at)
+        two = m.keys_with_two_owners(history.ownerships)
+        yield Bound("keys with two owners, in the whole run", COUNT, 0, len(two), len(history.ownerships))
+        at = history.windows["rest"].end - RECORD_LAG_S  # the first restart comes right at the end
+        stub_names = {name for host in history.hosts.values() for name in host.names}
+        wanted = {key for key in self.fleet.keys.keys if self.fleet.keys.preferred_owner(key) in stub_names}
+        missing = wanted - m.keys_owned_at(history.ownerships, at)
         yield Bound("keys without an owner at rest", COUNT, 0, len(missing), len(wanted))
-        wrong = m.wrongful_removals(history, LOOK_SLACK)
+        wrong = m.wrongful_removals(history, RECORD_LAG_S)
         yield Bound("relays taken out that had not ended", COUNT, 0, len(wrong), len(history.members))
-        differ = m.rosters_that_differ(history)
+        differ = m.conflicting_roster_versions(history)
         yield Bound("versions under which two rosters were seen", COUNT, 0, len(differ), len(history.members))
         at_rest = m.lease_gaps(
             history, Window(history.windows["rest"].begin, history.windows["many ends"].end)
@@ -258,18 +281,20 @@
             "leases lost before a control machine is killed", COUNT, 0, len(at_rest), len(history.in_service)
         )
         error = abs(m.model_error(history))
-        yield Bound("the model of the headers against the kernel's counts", PART, MODEL_ERROR, error)
+        yield Bound("the model of the headers against the kernel's counts", PERCENT, MAX_MODEL_ERROR, error)
 
 
-def _of_relay(title: str, unit: Unit, limit: float, value: float, samples: int = 1, note: str = "") -> Bound:
-    return Bound(title, unit, limit, value, samples, limit * AIMED_PART, note)
+def _relay_bound(
+    title: str, unit: Unit, limit: float, value: float, samples: int = 1, note: str = ""
+) -> Bound:
+    return Bound(title, unit, limit, value, samples, limit * AIM_FRACTION, note)
 
 
-def _p99(title: str, limit: float, values: Sequence[float]) -> Bound:
+def _p99_bound(title: str, limit: float, values: Sequence[float]) -> Bound:
     longest = f"longest {SECONDS.show(max(values))}" if values else ""
     return Bound(title, SECONDS, limit, m.p99(values), len(values), note=longest)
 
 
-def _ordinary(rest: float, busy: float) -> float:
+def _ordinary_day(rest: float, busy: float) -> float:
     """A day of restarts at their own pace, from rest and a time in which they came so many times as fast."""
-    return rest + max(0.0, busy - rest) / PACE
+    return rest + max(0.0, busy - rest) / RESTART_SPEEDUP
--- a/benchmarks/fleet_scale/virtual.py
+++ b/benchmarks/fleet_scale/virtual.py
@@ -19,16 +19,16 @@
 SLICES = 8  # parts of the hour under loss, played side by side
 LOSS = 0.01
 REGIONS, MACHINES = 3, 3  # control machines of each region
-RELAYS_UNDER_LOSS, RELAYS_CUT = 20, 8  # of each region: the cut is one run, and can't be played in parts
-VICTIMS = 3  # relays of each region that die during the cut
+RELAYS_UNDER_LOSS, RELAYS_IN_CUT = 20, 8  # of each region: the cut is one run, and can't be played in parts
+KILLED_PER_REGION = 3  # relays of each region that die during the cut
 KEYS = tuple(f"key-{n}" for n in range(30))
-BEGIN_WITHIN = 60.0  # s until all relays of a world are in service
-SETTLE = 10.0  # s after that, for the first rosters to settle
-LOOK_EVERY = 1.0  # s
-AGREE_WITHIN = 60.0  # s after the healing, before it is called never
+START_TIMEOUT_S = 60.0  # s until all relays of a world are in service
+SETTLE_S = 10.0  # s after that, for the first rosters to settle
+OBSERVE_INTERVAL_S = 1.0  # s
+AGREE_TIMEOUT_S = 60.0  # s after the healing, before it is called never
 
 
-class WorldFaultError(Exception):
+class WorldStartError(Exception):
     """A virtual fleet did not come up."""
 
 
@@ -48,7 +48,7 @@
     seconds: float
     agreed_after: float  # s from the healing until all relays know one roster of each region
     two_owners: int
-    owned: int  # intervals of ownership that were looked at
+    ownerships: int  # intervals of ownership that were looked at
     lost_leases: int
 
 
@@ -63,9 +63,9 @@
     for region in regions:
         for number in range(relays):
             world.start_relay(f"{region}-relay-{number:02d}", region, f"{region}-zone-{number % 2}")
-    if world.until(lambda: all(_in_service(world, region) for region in regions), BEGIN_WITHIN) is None:
-        raise WorldFaultError(f"not all virtual relays are in service within {BEGIN_WITHIN:g} s")
-    world.run(SETTLE)
+    if world.until(lambda: all(_in_service(world, region) for region in regions), START_TIMEOUT_S) is None:
+        raise WorldStartError(f"not all virtual relays are in service within {START_TIMEOUT_S:g} s")
+    world.run(SETTLE_S)
     return world
 
 
@@ -93,7 +93,7 @@
     begun, removed, lost = world.now, 0, set[str]()
     known = {relay.name: _members(relay) for relay in world.running()}
     while world.now - begun < seconds:
-        world.run(LOOK_EVERY)
+        world.run(OBSERVE_INTERVAL_S)
         gone = set[RelayKey]()
         for relay in world.running():
             members = _members(relay)
@@ -106,23 +106,23 @@
 
 def cut_off(seed: int, seconds: float) -> CutFigures:
     """A region's control machines are cut off from all others' for so long, then connected again."""
-    world = build(seed, RELAYS_CUT)
+    world = build(seed, RELAYS_IN_CUT)
     regions = sorted(world.groups)
     cut, others = world.groups[regions[-1]], [m for r in regions[:-1] for m in world.groups[r]]
     owners = _Owners(world)
     world.set_links(cut, others, cut=True)
     begun, lost = world.now, set[str]()
-    victims = [relay.name for region in regions for relay in world.running(region)[:VICTIMS]]
+    victims = [relay.name for region in regions for relay in world.running(region)[:KILLED_PER_REGION]]
     while world.now - begun < seconds:
-        world.run(LOOK_EVERY)
-        owners.look()
+        world.run(OBSERVE_INTERVAL_S)
+        owners.observe()
         lost |= _without_lease(world)
         if victims and world.now - begun > seconds / 2:
             world.kill_relay(victims.pop())  # so that the rosters go on, on both sides
     cut_for = world.now - begun
     world.heal()
-    agreed_after = world.until(lambda: _one_roster(world, regions), AGREE_WITHIN)
-    owners.look()
+    agreed_after = world.until(lambda: _one_roster(world, regions), AGREE_TIMEOUT_S)
+    owners.observe()
     two = measures.keys_with_two_owners(owners.intervals)
     return CutFigures(
         cut_for,
@@ -153,25 +153,25 @@
     def __init__(self, world: ControlWorld) -> None:
         self.world = world
         self.intervals: list[Ownership] = []
-        self._held: dict[tuple[str, RelayKey], float] = {}
+        self._open_since: dict[tuple[str, RelayKey], float] = {}
         self._keys = {
             region: [key for key in KEYS if home_region(key, world.groups) == region]
             for region in world.groups
         }
 
-    def look(self) -> None:
+    def observe(self) -> None:
         """Ask all relays for all keys of their region."""
-        held = {}
+        still_owned = {}
         for relay in self.world.running():
             attachment = relay.attachment
             assert attachment is not None
             for key in self._keys[relay.region]:
                 if attachment.owns(key, self.world.relay_clock(relay)):
-                    place = key, relay_key(attachment.relay)
-                    begin = self._held.get(place, self.world.now)
-                    held[place] = self.world.now
-                    self.intervals.append(Ownership(begin, self.world.now, *place))
-        self._held = held
+                    pair = key, relay_key(attachment.relay)
+                    begin = self._open_since.get(pair, self.world.now)
+                    still_owned[pair] = self.world.now
+                    self.intervals.append(Ownership(begin, self.world.now, *pair))
+        self._open_since = still_owned
 
 
 @dataclass(frozen=True, slots=True)
@@ -182,7 +182,7 @@
     cut: CutFigures
 
 
-def play(seed: int) -> VirtualFigures:
+def run_both(seed: int) -> VirtualFigures:
     """Both, side by side in processes."""
     with ProcessPoolExecutor(max(1, (os.cpu_count() or 2) - 1)) as pool:
         cut = pool.submit(cut_off, seed, HOUR)
--- a/tests/test_fleet_scale.py
+++ b/tests/test_fleet_scale.py
@@ -22,12 +22,12 @@
 from benchmarks.fleet_scale import __main__ as command
 from benchmarks.fleet_scale import measures, traffic, virtual
 from benchmarks.fleet_scale import protocol as p
-from benchmarks.fleet_scale.bounds import COUNT, SECONDS, Bound, broken
+from benchmarks.fleet_scale.bounds import COUNT, SECONDS, Bound, missed_bounds
 from benchmarks.fleet_scale.hollow import RunningRelay
 from benchmarks.fleet_scale.keys import KeyPlan
-from benchmarks.fleet_scale.layout import LayoutFaultError, Network, Size, lay_out
+from benchmarks.fleet_scale.layout import LayoutError, Network, Size, build_layout
 from benchmarks.fleet_scale.links import RegionLinks
-from benchmarks.fleet_scale.looks import OwnerLook, RosterLook, ServiceLook
+from benchmarks.fleet_scale.looks import OwnershipRecorder, RosterRecorder, ServiceRecorder
 from benchmarks.fleet_scale.processes import Processes
 from benchmarks.fleet_scale.records import Floor, History, HostHistory, Window
 from benchmarks.fleet_scale.report import Outcome, page
@@ -51,28 +51,28 @@
         made.hosts[host].rosters += [Floor(0.0, BEFORE), Floor(12.0 + (host == "a1"), AFTER)]
     made.hosts["b0"].counts["a"] += [Floor(0.0, BEFORE), Floor(15.0, LATER)]
     made.members.append(p.Members(12.0, "a", AFTER, 7, (), (ONE,)))
-    made.end(p.RelayEnded(10.0, ONE, "silent"))
+    made.add_end(p.RelayEnded(10.0, ONE, "silent"))
     return made
 
 
 def test_an_end_is_known_once_the_last_host_knows_its_roster_or_a_later_one() -> None:
     made = history()
-    (known,) = measures.ends_known(made, made.ended.values(), frozenset())
+    (known,) = measures.detection_delays(made, made.ended.values(), frozenset())
     assert (known.region, known.everywhere) == (3.0, 5.0)
-    (known,) = measures.ends_known(made, made.ended.values(), frozenset({"b"}))
+    (known,) = measures.detection_delays(made, made.ended.values(), frozenset({"b"}))
     assert known.everywhere == 3.0  # a region that is cut off need not know
 
 
 def test_an_end_that_one_host_never_hears_of_is_never_known() -> None:
     made = history()
     made.hosts["a1"].rosters.pop()
-    (known,) = measures.ends_known(made, made.ended.values(), frozenset())
+    (known,) = measures.detection_delays(made, made.ended.values(), frozenset())
     assert known.region == known.everywhere == measures.NEVER
-    made.hosts["a1"].lost_at = 11.0  # unless that host was ended itself
-    (known,) = measures.ends_known(made, made.ended.values(), frozenset())
+    made.hosts["a1"].ended_at = 11.0  # unless that host was ended itself
+    (known,) = measures.detection_delays(made, made.ended.values(), frozenset())
     assert known.region == 2.0
     made.members.clear()
-    (known,) = measures.ends_known(made, made.ended.values(), frozenset())
+    (known,) = measures.detection_delays(made, made.ended.values(), frozenset())
     assert known.region == measures.NEVER
 
 
@@ -81,7 +81,7 @@
     assert measures.wrongful_removals(made, 0.5) == []
     made.members.append(p.Members(13.0, "a", LATER, 7, (), (OTHER,)))
     assert measures.wrongful_removals(made, 0.5) == [OTHER]
-    made.end(p.RelayEnded(14.0, OTHER, "closed"))  # it ended after it was taken out
+    made.add_end(p.RelayEnded(14.0, OTHER, "closed"))  # it ended after it was taken out
     assert measures.wrongful_removals(made, 0.5) == [OTHER]
 
 
@@ -98,9 +98,9 @@
 def test_two_owners_at_a_time_are_found(
     intervals: list[tuple[float, float, RelayKey]], overlaps: int
 ) -> None:
-    owned = [p.Ownership(begin, end, "key", relay) for begin, end, relay in intervals]
-    assert len(measures.keys_with_two_owners(owned)) == overlaps
-    assert not measures.keys_with_two_owners([o for o in owned if o.relay == ONE])
+    ownerships = [p.Ownership(begin, end, "key", relay) for begin, end, relay in intervals]
+    assert len(measures.keys_with_two_owners(ownerships)) == overlaps
+    assert not measures.keys_with_two_owners([o for o in ownerships if o.relay == ONE])
 
 
 def test_lease_gaps_count_where_they_touch_a_window() -> None:
@@ -118,38 +118,38 @@
 
 
 def test_relays_that_stand_apart_are_found_by_version_and_by_members() -> None:
-    def audited(*rosters: p.Standing, counted: Version = AFTER) -> int:
+    def audited(*rosters: p.VersionTally, counted: Version = AFTER) -> int:
         made = history()
         made.hosts["a0"].audits.append(p.Audit(1.0, 1, rosters, ()))
-        made.hosts["b0"].audits.append(p.Audit(1.0, 1, (), (p.Standing("a", counted, 5, 1),)))
-        return measures.agreement(made, 1).apart
+        made.hosts["b0"].audits.append(p.Audit(1.0, 1, (), (p.VersionTally("a", counted, 5, 1),)))
+        return measures.agreement(made, 1).disagreeing_regions
 
-    here = p.Standing("a", AFTER, 7, 3)
+    here = p.VersionTally("a", AFTER, 7, 3)
     assert audited(here) == 0
-    assert audited(here, p.Standing("a", BEFORE, 7, 1)) == 1
-    assert audited(here, p.Standing("a", AFTER, 8, 1)) == 1
+    assert audited(here, p.VersionTally("a", BEFORE, 7, 1)) == 1
+    assert audited(here, p.VersionTally("a", AFTER, 8, 1)) == 1
     assert audited(here, counted=BEFORE) == 1
 
 
 def test_a_bound_that_is_missed_or_was_not_measured_breaks_the_run() -> None:
-    kept, missed = Bound("kept", SECONDS, 5.0, 5.0), Bound("missed", SECONDS, 5.0, 7.25)
+    met, missed = Bound("kept", SECONDS, 5.0, 5.0), Bound("missed", SECONDS, 5.0, 7.25)
     empty = Bound("empty", COUNT, 0, 0, samples=0)
-    assert broken([kept, missed, empty]) == [missed, empty]
-    outcome = Outcome("a fleet", "command", [kept, missed, empty])
+    assert missed_bounds([met, missed, empty]) == [missed, empty]
+    outcome = Outcome("a fleet", "command", [met, missed, empty])
     assert not outcome.good
     assert "missed by 2.25 s" in page(outcome)
     assert "2 bounds" not in outcome.last_line()
-    assert Outcome("a fleet", "command", [kept]).good
-    assert not Outcome("a fleet", "command", [kept], ["a process died"]).good
+    assert Outcome("a fleet", "command", [met]).good
+    assert not Outcome("a fleet", "command", [met], ["a process died"]).good
 
 
-class Looked:
+class FakeRelay:
     """A relay as the looks see it."""
 
     def __init__(self, key: RelayKey) -> None:
         self.key = key
         self.acting = self.owning = True
-        self.in_own_roster, self.in_service, self.gap = True, False, False
+        self.in_own_roster, self.in_service, self.without_lease = True, False, False
         self.roster: Roster | None = Roster(BEFORE, [Relay(key.name, key.instance, "host", 1)])
 
     def may_act(self, now: float) -> bool:
@@ -159,63 +159,63 @@
         return self.owning
 
 
-def looked(*keys: RelayKey) -> tuple[list[Looked], list[RunningRelay]]:
-    made = [Looked(key) for key in keys]
+def fake_relays(*keys: RelayKey) -> tuple[list[FakeRelay], list[RunningRelay]]:
+    made = [FakeRelay(key) for key in keys]
     return made, cast("list[RunningRelay]", made)
 
 
 def test_a_relay_is_in_service_once_it_is_in_its_roster_and_each_gap_of_its_lease_is_noted() -> None:
     written: list[p.Record] = []
-    (one,), relays = looked(ONE)
-    look = ServiceLook(written.append)
+    (one,), relays = fake_relays(ONE)
+    recorder = ServiceRecorder(written.append)
     one.in_own_roster = False
-    look.look(1.0, relays)
+    recorder.observe(1.0, relays)
     assert not written  # a lease alone is not enough
     one.in_own_roster = True
-    look.look(2.0, relays)
+    recorder.observe(2.0, relays)
     one.acting = False
-    look.look(3.0, relays)
-    look.look(4.0, relays)
+    recorder.observe(3.0, relays)
+    recorder.observe(4.0, relays)
     one.acting = True
-    look.look(5.0, relays)
+    recorder.observe(5.0, relays)
     assert written == [p.RelayInService(2.0, ONE), p.LeaseGap(2.0, 5.0, ONE)]
     one.acting = False
-    look.look(6.0, relays)
-    look.ended(6.5, relays[0])
+    recorder.observe(6.0, relays)
+    recorder.ended(6.5, relays[0])
     assert written[-1] == p.LeaseGap(5.0, 6.5, ONE)
 
 
 def host_plan() -> p.HostPlan:
-    watch = (p.KeyWatch("key", ("one",)),)
+    watch = (p.SampledKey("key", ("one",)),)
     return p.HostPlan("host", "a", ("a", "b"), (), "", (), watch, 1)
 
 
 def test_ownership_is_written_in_parts_that_meet_and_ends_at_the_last_look_that_saw_it() -> None:
     written: list[p.Record] = []
-    (one,), relays = looked(ONE)
-    look = OwnerLook(host_plan(), written.append, Random(1))
+    (one,), relays = fake_relays(ONE)
+    recorder = OwnershipRecorder(host_plan(), written.append, Random(1))
     for now in (0.0, 1.0, 3.0, 4.0):
-        look.look(lambda at=now: at, {"one": relays[0]})  # type: ignore[misc]
+        recorder.observe(lambda at=now: at, {"one": relays[0]})  # type: ignore[misc]
     one.owning = False
-    look.look(lambda: 5.0, {"one": relays[0]})
+    recorder.observe(lambda: 5.0, {"one": relays[0]})
     assert written == [p.Ownership(0.0, 3.0, "key", ONE), p.Ownership(3.0, 4.0, "key", ONE)]
 
 
 def test_what_a_host_knows_is_what_its_last_relay_knows() -> None:
     written: list[p.Record] = []
-    (one, other), relays = looked(ONE, OTHER)
+    (one, other), relays = fake_relays(ONE, OTHER)
     one.in_service = other.in_service = True
-    look = RosterLook(host_plan(), written.append)
-    look.look(1.0, relays)
+    recorder = RosterRecorder(host_plan(), written.append)
+    recorder.observe(1.0, relays)
     one.roster = Roster(AFTER, [Relay("other", 2, "host", 1)])
-    look.look(2.0, relays)
+    recorder.observe(2.0, relays)
     floors = [r for r in written if isinstance(r, p.RosterFloor)]
     assert [floor.version for floor in floors] == [BEFORE]  # one relay still has the roster before
     (change,) = [r for r in written if isinstance(r, p.Members) and r.version == AFTER]
     assert change.gone == (ONE,)
     assert change.joined == (OTHER,)
     other.roster = one.roster
-    look.look(3.0, relays)
+    recorder.observe(3.0, relays)
     assert written[-1] == p.RosterFloor(3.0, "a", AFTER)
 
 
@@ -227,18 +227,18 @@
 
 
 def test_the_full_fleet_is_laid_out_as_its_numbers_say(network: Network) -> None:
-    layout = lay_out(Size(5600, 46, 10, 24), network, 20)
-    relays = [len(z.hollow) + len(z.rack) + len(z.real) for z in layout.zones]
+    layout = build_layout(Size(5600, 46, 10, 24), network, 20)
+    relays = [len(z.stubs) + len(z.rack) + len(z.real) for z in layout.zones]
     assert (sum(relays), min(relays), max(relays)) == (5600, 233, 234)
     assert {len(layout.group(region)) for region in layout.regions} == {4, 5}
     assert len(layout.machines) == 46
     assert len(layout.real) == 20
     assert all(len(zone.rack) == 40 for zone in layout.zones)
-    everybody = frozenset(r.name for z in layout.zones for r in (*z.hollow, *z.rack))
-    watched = [KeyPlan(layout, 200).watched_by(region, everybody) for region in layout.regions]
+    everybody = frozenset(r.name for z in layout.zones for r in (*z.stubs, *z.rack))
+    watched = [KeyPlan(layout, 200).sampled_keys(region, everybody) for region in layout.regions]
     assert sum(map(len, watched)) == 200
     assert all(watch.relays for keys in watched for watch in keys)
-    with pytest.raises(LayoutFaultError, match="expected 3 to 7 a region"):
+    with pytest.raises(LayoutError, match="expected 3 to 7 a region"):
         Size(5600, 20, 10, 24).check()
 
 
@@ -247,11 +247,11 @@
         while data := await reader.read(100):
             writer.write(data)
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = await asyncio.start_server(echo, network.host(1), 0)
         links = RegionLinks(network.host(253))
-        through = links.through(p.Address(*server.sockets[0].getsockname()[:2]))
-        reader, writer = await asyncio.open_connection(through.host, through.port)
+        proxied_address = links.proxied_address(p.Address(*server.sockets[0].getsockname()[:2]))
+        reader, writer = await asyncio.open_connection(proxied_address.host, proxied_address.port)
         writer.write(b"one")
         assert await reader.read(100) == b"one"
         links.cut()
@@ -264,7 +264,7 @@
         await links.close()
         server.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_kernel_counts_are_the_payload_and_segments_of_a_connection() -> None:
@@ -288,22 +288,22 @@
 
 
 def test_processes_are_ended_whatever_happens_and_a_death_is_told(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         with pytest.raises(RuntimeError, match="in the middle"):
             async with Processes() as processes:
-                held = await processes.start("held", ["http.server", "--bind", "127.0.0.1", "0"], tmp_path)
+                running = await processes.start("held", ["http.server", "--bind", "127.0.0.1", "0"], tmp_path)
                 failed = await processes.start("failed", ["no.such.module"], tmp_path)
                 await failed.process.wait()
-                await asyncio.gather(*failed.reading)
-                assert held.usage() is not None
-                (fault,) = processes.faults()
-                assert fault.startswith("failed ended with status 1")
-                assert "no.such" in fault
+                await asyncio.gather(*failed.reader_tasks)
+                assert running.usage() is not None
+                (failure,) = processes.failures()
+                assert failure.startswith("failed ended with status 1")
+                assert "no.such" in failure
                 raise RuntimeError("in the middle")
-        assert not held.running
-        assert held.usage() is None
+        assert not running.running
+        assert running.usage() is None
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_virtual_time_under_loss_and_through_a_cut() -> None:
@@ -315,25 +315,25 @@
     assert cut.agreed_after < 10.0
     assert not cut.two_owners
     assert not cut.lost_leases
-    assert cut.owned > 30
+    assert cut.ownerships > 30
 
 
-BUSY = 3.0  # times a bound in seconds, beside other tests
-SMALLER = ["--quick", "--relays", "200"]
+TIME_TOLERANCE = 3.0  # times a bound in seconds, beside other tests
+SMALL_RUN_ARGUMENTS = ["--quick", "--relays", "200"]
 
 
 def test_a_quick_run_with_all_its_faults_keeps_what_is_promised() -> None:
-    outcome = asyncio.run(run(command.request(command.parse(SMALLER))))
-    assert not outcome.faults
+    outcome = asyncio.run(run(command.request(command.parse(SMALL_RUN_ARGUMENTS))))
+    assert not outcome.failures
     assert len(outcome.bounds) > 20
     for bound in outcome.bounds:
-        allowed = bound.limit * BUSY if bound.unit is SECONDS else bound.limit
+        allowed = bound.limit * TIME_TOLERANCE if bound.unit is SECONDS else bound.limit
         assert bound.samples, f"{bound.title}: no samples"
         assert bound.value <= allowed, f"{bound.title}: {bound.value}, limit {bound.limit}"
 
 
 def test_a_run_that_is_told_to_end_leaves_no_process_behind() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         run = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "benchmarks.fleet_scale", "--quick", "--relays", "60",
             cwd=ROOT, stderr=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.DEVNULL,
@@ -348,7 +348,7 @@
         assert len(started) >= 7
         assert not [pid for pid in started if Path("/proc", pid).exists()]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_numbers_that_make_no_fleet_are_status_2(
