--- a/benchmarks/fleet_scale/keys.py
+++ b/benchmarks/fleet_scale/keys.py
@@ -1,8 +1,8 @@
-"""Keys whose owners are sampled, and who could come to own them.
+"""Keys whose owners are sampled, and the relays that are candidates to own them.
 
-Asking each of some thousand relays for each key, many times a second, would take more than the fleet does. A
-key's owner is the living relay that ranks first for it by rendezvous hashing; so the first few are asked at
-each look, and some of all others for a key at random, which would find an owner that the ranking doesn't explain.
+Asking each of some thousand relays about each key many times a second would take more CPU time than the fleet
+itself. The owner of a key is the living relay that ranks first for it by rendezvous hashing, so each sample asks
+the highest-ranked relays, plus a few random relays about a random key to find owners that the ranking rules out.
 """
 
 from __future__ import annotations
@@ -15,13 +15,11 @@
 from violetdoor.control.roster import home_region
 from violetdoor.fleet.view import rendezvous_weight
 
-CANDIDATES_PER_KEY = (
-    12  # relays asked for each key: by one in 4,000 all of these stand in the half of a region that dies
-)
+CANDIDATES_PER_KEY = 12  # for about 1 key in 4,000 all of them are in the half of a region that dies
 
 
 class KeyPlan:
-    """The keys of a run by their regions."""
+    """The keys of a run, by home region, with the relays that rank highest for each."""
 
     def __init__(self, layout: Layout, count: int) -> None:
         self.keys = tuple(f"key-{n:04d}" for n in range(count))
@@ -32,14 +30,14 @@
             self._ranked[region][key] = _highest_ranked(key, names[region])
 
     def sampled_keys(self, region: str, relays: frozenset[str]) -> tuple[SampledKey, ...]:
-        """The keys of a region, and which of these relays rank high for them."""
+        """Return the keys of a region, each with those of `relays` that are candidates to own it."""
         return tuple(
             SampledKey(key, tuple(name for name in ranked if name in relays))
             for key, ranked in self._ranked[region].items()
         )
 
     def preferred_owner(self, key: str) -> str:
-        """The relay that owns a key while all live."""
+        """Return the relay that owns a key while all relays are alive."""
         return next(ranked[key][0] for ranked in self._ranked.values() if key in ranked)
 
 
