--- a/benchmarks/fleet_scale/bounds.py
+++ b/benchmarks/fleet_scale/bounds.py
@@ -1,4 +1,4 @@
-"""What is wanted of the figures, and whether it was reached."""
+"""Upper bounds of the measured figures, and whether each was met."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Unit:
-    """How a figure is shown."""
+    """How a figure is formatted."""
 
-    text: str
-    factor: float = 1.0  # of the figure, before it is shown
+    text: str  # suffix after the number
+    factor: float = 1.0  # converts the stored value to this unit
     decimals: int = 1
 
     def show(self, value: float) -> str:
-        """The figure with its unit."""
+        """Format a value with its unit."""
         if value == float("inf"):
             return "never"
         return f"{value * self.factor:.{self.decimals}f}{self.text}"
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """A figure that must not be larger than a limit."""
+    """A measured value and the limit that it must not exceed."""
 
     title: str
     unit: Unit
     limit: float
     value: float
-    samples: int = 1  # that the figure was made of; none: nothing was shown
-    aim: float | None = None  # a smaller limit that is aimed at
+    samples: int = 1  # number of samples behind `value`; with 0 the bound is not met
+    aim: float | None = None  # stricter limit that is desired but not required
     note: str = ""
 
     @property
@@ -46,7 +46,7 @@
 
     @property
     def verdict(self) -> str:
-        """Whether it was kept, and by how much not."""
+        """Describe whether the bound was met, and by how much it was missed."""
         if not self.samples:
             return "**not shown: nothing was measured**"
         if not self.met:
@@ -57,5 +57,5 @@
 
 
 def missed_bounds(bounds: Sequence[Bound]) -> list[Bound]:
-    """Those that were not kept."""
+    """Return the bounds that were not met."""
     return [bound for bound in bounds if not bound.met]
