--- a/benchmarks/fleet_scale/records.py
+++ b/benchmarks/fleet_scale/records.py
@@ -1,4 +1,4 @@
-"""What the hosts reported and the harness saw, as one history of typed records."""
+"""The history of a run: records from the hosts, and events that the harness itself caused or observed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """A stretch of the run."""
+    """A time interval of the run, both ends included; seconds of `shared_clock`."""
 
     begin: float
     end: float
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Floor:
-    """From this moment on all relays of a host know at least this version."""
+    """From `at` on, all relays of a host know at least this version; None if one of them knows no version."""
 
     at: float
     version: Version | None
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageSample:
-    """What a process had used at a moment."""
+    """Resource usage of a process at a point in time."""
 
     at: float
     usage: Usage
@@ -46,11 +46,11 @@
 
 @dataclass
 class HostHistory:
-    """All that one host of hollow relays reported."""
+    """All records of one host of stub relays."""
 
     region: str
     names: frozenset[str]
-    ended_at: float = float("inf")  # when the harness ended it
+    ended_at: float = float("inf")  # when the harness killed or stopped the host
     census: list[p.Census] = field(default_factory=list)
     rosters: list[Floor] = field(default_factory=list)
     counts: dict[str, list[Floor]] = field(default_factory=lambda: defaultdict(list))
@@ -62,27 +62,27 @@
 
 @dataclass
 class History:
-    """The whole run."""
+    """All records of a run."""
 
     hosts: dict[str, HostHistory] = field(default_factory=dict)
     members: list[p.Members] = field(default_factory=list)
     started: list[p.RelayStarted] = field(default_factory=list)
     in_service: list[p.RelayInService] = field(default_factory=list)
     ended: dict[RelayKey, p.RelayEnded] = field(default_factory=dict)
-    real_ended: dict[str, float] = field(default_factory=dict)  # real relays by name
-    running: dict[str, RelayKey] = field(default_factory=dict)  # hollow relays by name
+    real_ended: dict[str, float] = field(default_factory=dict)  # time of the end of real relays, by name
+    running: dict[str, RelayKey] = field(default_factory=dict)  # stub relays by name
     gaps: list[p.LeaseGap] = field(default_factory=list)
     ownerships: list[p.Ownership] = field(default_factory=list)
     failures: list[str] = field(default_factory=list)
     usage: dict[str, list[UsageSample]] = field(default_factory=lambda: defaultdict(list))
-    windows: dict[str, Window] = field(default_factory=dict)  # of the phases, by their names
+    windows: dict[str, Window] = field(default_factory=dict)  # of the phases, by phase name
 
     def add_line(self, host: str, line: bytes) -> None:
-        """Take in a line of a host."""
+        """Decode and add a line that a host wrote."""
         try:
             record = p.records.decode(line)
         except (msgspec.MsgspecError, ValueError) as err:
-            self.failures.append(f"{host} wrote what is no record: {err}")
+            self.failures.append(f"{host} wrote a line that is not a valid record: {err}")
             return
         self._add(self.hosts[host], record)
 
@@ -119,13 +119,13 @@
                 self.failures.append(record.text)
 
     def add_end(self, record: p.RelayEnded) -> None:
-        """Note that a relay has ended."""
+        """Add the end of a relay, and remove the relay from the running ones."""
         self.ended[record.relay] = record
         if self.running.get(record.relay.name) == record.relay:
             del self.running[record.relay.name]
 
     def add_host_end(self, host: str, at: float, how: p.Ending) -> tuple[RelayKey, ...]:
-        """Note that the harness has ended a host, and with it all its relays."""
+        """Add the end of a host by the harness, and of all its relays; return these relays."""
         self.hosts[host].ended_at = at
         lost = tuple(self.running[n] for n in self.hosts[host].names if n in self.running)
         for relay in lost:
@@ -133,5 +133,5 @@
         return lost
 
     def living_hosts(self, at: float) -> Iterator[HostHistory]:
-        """Hosts that have not been ended by then."""
+        """Return the hosts that had not been ended at time `at`."""
         return (host for host in self.hosts.values() if host.ended_at > at)
