--- a/benchmarks/fleet_scale/protocol.py
+++ b/benchmarks/fleet_scale/protocol.py
@@ -1,6 +1,7 @@
-"""Commands to a host of hollow relays, and the records that it writes: JSON, one to a line.
+"""Commands to a host of stub relays, and the records that it writes, as lines of JSON.
 
-Times are seconds of CLOCK_BOOTTIME, which all processes of one machine read alike.
+Times are seconds of CLOCK_BOOTTIME, which is the same clock for all processes of a machine. Names of fields and
+tags are the keys and types in the JSON.
 """
 
 from __future__ import annotations
@@ -13,16 +14,18 @@
 
 from violetdoor.control.messages import RelayKey, Version
 
-Ending = Literal["closed", "silent", "left"]  # the process dies; its machine dies; it leaves in order
+Ending = Literal[
+    "closed", "silent", "left"
+]  # process dies (connection closes); machine dies (no notice); leaves
 
 
 def shared_clock() -> float:
-    """The clock of all records."""
+    """Return the time that all records use, in seconds."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Address(Struct, frozen=True):
-    """Where somebody listens."""
+    """A host and port."""
 
     host: str
     port: int
@@ -32,27 +35,27 @@
 
 
 class StubRelay(Struct, frozen=True):
-    """A relay without clients."""
+    """A stub relay, which has a control plane client and no clients of its own."""
 
     name: str
     zone: str
-    address: Address  # that it tells; nobody listens there
+    address: Address  # address that it advertises; nothing listens there
 
 
 class SampledKey(Struct, frozen=True):
-    """A key whose owners are sampled, and the host's relays that could come to own it: they rank first for it."""
+    """A key whose owners are sampled, and the host's relays that rank highest for it and so may own it."""
 
     key: str
     relays: tuple[str, ...]
 
 
 class HostPlan(Struct, frozen=True):
-    """What a host needs to know at its start."""
+    """Configuration of a host, which reads it from a file at its start."""
 
     name: str
     region: str
     regions: tuple[str, ...]
-    controls: tuple[Address, ...]  # of its region
+    controls: tuple[Address, ...]  # session addresses of its region's control machines
     key_file: str
     relays: tuple[StubRelay, ...]
     keys: tuple[SampledKey, ...]  # of its region
@@ -63,33 +66,33 @@
 
 
 class Begin(Struct, frozen=True, tag="begin"):
-    """Start all relays, spread over so many seconds."""
+    """Start all relays at random times within `over` seconds."""
 
     over: float
 
 
 class EndRelays(Struct, frozen=True, tag="end"):
-    """End running relays."""
+    """End the named relays, which must be running."""
 
     names: tuple[str, ...]
     how: Ending
 
 
 class RestartRelay(Struct, frozen=True, tag="restart"):
-    """Let a relay leave, and start it again after `down` seconds."""
+    """Make a relay leave, and start it again after `down` seconds."""
 
     name: str
     down: float
 
 
 class TakeAudit(Struct, frozen=True, tag="audit"):
-    """Report at which rosters and counts the relays stand."""
+    """Write an `Audit`: which rosters and relay counts the relays know."""
 
     number: int
 
 
 class StopHost(Struct, frozen=True, tag="stop"):
-    """Write what is not written yet, and end."""
+    """Write all pending records and exit."""
 
 
 Command = Begin | EndRelays | RestartRelay | TakeAudit | StopHost
@@ -99,7 +102,7 @@
 
 
 class Census(Struct, frozen=True, tag="census"):
-    """How many relays of the host run, have a whole roster with themselves in it, and hold a lease."""
+    """How many relays of the host run, know a complete roster that lists them, and hold a lease."""
 
     at: float
     running: int
@@ -108,18 +111,18 @@
 
 
 class Members(Struct, frozen=True, tag="members"):
-    """What was new in the newest roster of the region that the host's relays know."""
+    """Members that joined and left since the previous newest roster that a relay of the host knew."""
 
     at: float
     region: str
     version: Version
-    digest: int  # of the whole roster
+    digest: int  # hash of the whole roster
     joined: tuple[RelayKey, ...]
     gone: tuple[RelayKey, ...]
 
 
 class RosterFloor(Struct, frozen=True, tag="roster"):
-    """The oldest roster that a running relay of the host knows; None: one has none yet."""
+    """The oldest roster version that a relay in service knows; None if one knows no roster."""
 
     at: float
     region: str
@@ -127,7 +130,7 @@
 
 
 class CountFloor(Struct, frozen=True, tag="counts"):
-    """The oldest count of another region that a running relay of the host knows."""
+    """The oldest version of another region's relay count that a relay in service knows; None if one knows none."""
 
     at: float
     region: str
@@ -135,21 +138,21 @@
 
 
 class RelayStarted(Struct, frozen=True, tag="started"):
-    """A relay was started."""
+    """A relay instance was started."""
 
     at: float
     relay: RelayKey
 
 
 class RelayInService(Struct, frozen=True, tag="in-service"):
-    """A started relay has a roster with itself in it, and holds a lease."""
+    """A started relay is listed in its roster and holds a lease for the first time."""
 
     at: float
     relay: RelayKey
 
 
 class RelayEnded(Struct, frozen=True, tag="ended"):
-    """A relay was ended."""
+    """The host or the harness ended a relay."""
 
     at: float
     relay: RelayKey
@@ -157,7 +160,7 @@
 
 
 class LeaseGap(Struct, frozen=True, tag="gap"):
-    """A relay in service held no lease between two looks."""
+    """A relay in service held no lease between two observations."""
 
     begin: float
     end: float
@@ -165,7 +168,7 @@
 
 
 class Ownership(Struct, frozen=True, tag="owned"):
-    """A relay said at all looks from `begin` to `end` that it owns a key."""
+    """A relay claimed a key in all observations from `begin` to `end`."""
 
     begin: float
     end: float
@@ -174,19 +177,19 @@
 
 
 class Traffic(Struct, frozen=True, tag="traffic"):
-    """Bytes of the host's relays since the record before, both ways."""
+    """Bytes sent and received by the host's relays since the previous record."""
 
     at: float
     seconds: float
-    relays: int  # that were connected throughout
-    wire: int  # of these, with headers and acknowledgements, by the kernel's counts
-    peak: float  # bytes a second, the most of one of them
-    joining: int  # relays that connected meanwhile
-    joining_wire: int
+    relays: int  # relays that kept one connection throughout
+    wire: int  # bytes of these relays, with headers and acknowledgements, by the kernel's counts
+    peak: float  # bytes per second of the busiest of these relays
+    joining: int  # relays that connected since the previous record
+    joining_wire: int  # bytes of these since they connected
 
 
 class TrafficModel(Struct, frozen=True, tag="model"):
-    """Bytes of all connections by the kernel's counts, and by payload and a model of the headers."""
+    """Bytes of all connections: by the kernel's counts, and estimated from payload and a model of the headers."""
 
     at: float
     kernel_wire: int
@@ -194,16 +197,16 @@
 
 
 class VersionTally(Struct, frozen=True):
-    """Relays of a host that stand at one roster, or at one count of another region."""
+    """How many relays of a host know this version of a region's roster, or of another region's relay count."""
 
     region: str
-    version: Version | None  # None: they know nothing
-    digest: int  # of the roster, or the living that the count has
+    version: Version | None  # None if they know none
+    digest: int  # hash of the roster; for a count of another region, the number of living relays in it
     relays: int
 
 
 class Audit(Struct, frozen=True, tag="audit"):
-    """Where all running relays of the host stand."""
+    """Which rosters and relay counts the running relays of the host know."""
 
     at: float
     number: int
@@ -212,17 +215,17 @@
 
 
 class Cost(Struct, frozen=True, tag="cost"):
-    """What the host has used since its start, and what of it the looks of the measurement took."""
+    """Resources that the host has used since its start, and how much of them the measurement took."""
 
     at: float
-    cpu: float  # s
-    looking: float  # s
+    cpu: float  # seconds of CPU time
+    looking: float  # of these, seconds spent observing the relays
     rss_kib: int
     relays: int
 
 
 class HostFailure(Struct, frozen=True, tag="fault"):
-    """Something in the host failed that must not."""
+    """An unexpected failure in the host, which fails the run."""
 
     at: float
     text: str
