--- a/benchmarks/fleet_scale/report.py
+++ b/benchmarks/fleet_scale/report.py
@@ -1,4 +1,4 @@
-"""The table of bounds, and the page that keeps it."""
+"""The table of bounds, and the result page that contains it."""
 
 from __future__ import annotations
 
@@ -14,28 +14,30 @@
 
 @dataclass
 class Outcome:
-    """What a run has come to."""
+    """The result of a run."""
 
     title: str  # the size of the fleet
     command: str
     bounds: list[Bound] = field(default_factory=list)
-    failures: list[str] = field(default_factory=list)  # of the harness, the hosts and the processes
-    notes: list[str] = field(default_factory=list)  # how the figures were made
-    phases: list[str] = field(default_factory=list)
+    failures: list[str] = field(
+        default_factory=list
+    )  # unexpected ones, of the harness, the hosts and the processes
+    notes: list[str] = field(default_factory=list)  # how the figures were measured
+    phases: list[str] = field(default_factory=list)  # descriptions of what was done
 
     @property
     def good(self) -> bool:
         return not self.failures and not missed_bounds(self.bounds)
 
     def last_line(self) -> str:
-        """The figures in one line."""
+        """Summarize all figures in one line."""
         met = len(self.bounds) - len(missed_bounds(self.bounds))
         figures = ", ".join(f"{bound.title}: {bound.unit.show(bound.value)}" for bound in self.bounds)
         return f"fleet_scale {self.title}; {met} of {len(self.bounds)} bounds kept; {figures}"
 
 
 def table(bounds: Sequence[Bound]) -> list[str]:
-    """Each figure beside its bound."""
+    """Return the lines of a Markdown table with each figure and its bound."""
     lines = ["| | bound | aim | measured | samples | |", "| --- | --- | --- | --- | --- | --- |"]
     for bound in bounds:
         aim = "" if bound.aim is None else bound.unit.show(bound.aim)
@@ -47,7 +49,7 @@
 
 
 def page(outcome: Outcome) -> str:
-    """The page of a run."""
+    """Return the result page in Markdown."""
     lines = [
         "# A large fleet, measured", "",
         f"{outcome.title}, on {described()}, by `{outcome.command}`. All processes shared this machine.", "",
