--- a/benchmarks/fleet_scale/configs.py
+++ b/benchmarks/fleet_scale/configs.py
@@ -1,4 +1,4 @@
-"""The configuration files of a run's processes, as an operator would write them."""
+"""Configuration files of the processes of a run, with the settings that an operator would write."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 KEY_BYTES = 32
 KEY_FILE = "fleet.key"
-SERVER = "127.0.0.1:9"  # a gate server that the relays have: nobody listens there, and no client comes
+SERVER = "127.0.0.1:9"  # in the server list of real relays; nothing listens there, as no client connects
 
 
 def key_path(folder: Path) -> Path:
-    """The file of the shared key."""
+    """Return the path of the shared key."""
     return folder / KEY_FILE
 
 
 def write_key(folder: Path) -> None:
-    """Draw a shared key."""
+    """Write a new random shared key."""
     key_path(folder).write_text(os.urandom(KEY_BYTES).hex())
 
 
 def write_control(
     folder: Path, machine: ControlMachine, layout: Layout, regions: Mapping[str, tuple[Address, ...]]
 ) -> Path:
-    """The file of a control machine; `regions`: where it reaches the sessions of each."""
+    """Write the configuration of a control machine; `regions` has the session addresses of each region."""
     group = layout.group(machine.region)
     data = {
         "log": "json",
@@ -53,7 +53,7 @@
 
 
 def write_real(folder: Path, relay: RealRelay, layout: Layout) -> Path:
-    """The file of a real relay."""
+    """Write the configuration of a real relay."""
     fleet = {
         "region": relay.region,
         "control": [str(machine.sessions) for machine in layout.group(relay.region)],
@@ -63,7 +63,7 @@
 
 
 def write_unattached(folder: Path, relay: RealRelay) -> Path:
-    """The file of a relay without a control plane."""
+    """Write the configuration of a relay without a control plane."""
     return _write(folder, relay.name, _relay(relay))
 
 
