--- a/benchmarks/fleet_scale/traffic.py
+++ b/benchmarks/fleet_scale/traffic.py
@@ -1,11 +1,11 @@
-"""Bytes of a connection as they would be on the wire, counted in two ways.
+"""Bytes of a connection as they would be on an Ethernet, counted in two ways.
 
-By the kernel: payload and segments both ways as TCP_INFO has them. On loopback one segment holds up to
-64 KiB, so large ones count as many as Ethernet would need. Acknowledgements are segments.
+By the kernel: payload and segments in both directions from TCP_INFO, acknowledgements included. On loopback a
+segment holds up to 64 KiB, so the number of segments is raised to what Ethernet would need for the payload.
 
-By a model: the payload that the connection's code has written and read, a header for each segment that its
-writes and the frames that came need, and an acknowledgement for each that came. It is compared with the
-kernel's counts, which the figures rest on.
+By a model: the payload that the connection's code has written and read, one header for each segment that its
+writes and the received frames need, and one acknowledgement for each received segment. The model is only compared
+with the kernel's counts, from which the figures are computed.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 import struct
 from dataclasses import dataclass
 
-HEADER_BYTES = 40  # bytes of IPv4 and TCP without options
-TIMESTAMP_OPTION_BYTES = 12  # bytes of the TCP option that Linux sends by default
-SEGMENT_PAYLOAD_BYTES = 1448  # bytes of payload in one segment on Ethernet, with timestamps
-TCP_INFO_SIZE = 232
-# Offsets in struct tcp_info of <linux/tcp.h>
+HEADER_BYTES = 40  # IPv4 and TCP without options
+TIMESTAMP_OPTION_BYTES = 12  # TCP option that Linux sends by default
+SEGMENT_PAYLOAD_BYTES = 1448  # bytes in one segment on Ethernet, with the timestamp option
+TCP_INFO_SIZE = 232  # bytes of struct tcp_info that are read
+# Byte offsets in struct tcp_info of <linux/tcp.h>.
 _BYTES_ACKED, _BYTES_RECEIVED, _SEGMENTS_OUT, _SEGMENTS_IN = 120, 128, 136, 140
 
 
 @dataclass(frozen=True, slots=True)
 class Counts:
-    """Payload and segments of one connection since it was opened."""
+    """Payload bytes and segments of a connection, sent and received."""
 
     bytes_out: int = 0
     bytes_in: int = 0
@@ -32,7 +32,7 @@
     segments_in: int = 0
 
     def since(self, before: Counts) -> Counts:
-        """What has come to these counts since an earlier look."""
+        """Return the increase of these counts since `before`."""
         return Counts(
             self.bytes_out - before.bytes_out,
             self.bytes_in - before.bytes_in,
@@ -42,7 +42,7 @@
 
     @property
     def wire(self) -> int:
-        """Bytes with headers, both ways."""
+        """Return the bytes in both directions with headers."""
         header = HEADER_BYTES + TIMESTAMP_OPTION_BYTES
         segments = max(self.segments_out, -(-self.bytes_out // SEGMENT_PAYLOAD_BYTES))
         segments += max(self.segments_in, -(-self.bytes_in // SEGMENT_PAYLOAD_BYTES))
@@ -50,7 +50,7 @@
 
 
 def kernel_counts(sock: socket.socket) -> Counts:
-    """What the kernel has counted; raises OSError where the socket is closed."""
+    """Read the kernel's counts of a connection. Raises OSError if the socket is closed."""
     info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
     acked, received = struct.unpack_from("=QQ", info, _BYTES_ACKED)
     segments_out, segments_in = struct.unpack_from("=II", info, _SEGMENTS_OUT)
@@ -58,10 +58,10 @@
 
 
 def model_wire(payload: Counts) -> int:
-    """Bytes with headers of payload that was written and read in so many segments.
+    """Estimate the bytes with headers from the payload and the number of writes and received frames.
 
-    What a relay sends is acknowledged by what is sent back, which takes no segment of its own; what it
-    receives is not answered at once and takes one.
+    Segments that a relay sends are acknowledged by the data that is sent back, without a segment of their own.
+    Segments that it receives are not answered at once, so each takes a separate acknowledgement.
     """
     sent = max(payload.segments_out, -(-payload.bytes_out // SEGMENT_PAYLOAD_BYTES))
     received = max(payload.segments_in, -(-payload.bytes_in // SEGMENT_PAYLOAD_BYTES))
