--- a/benchmarks/fleet_scale/protocol.py
+++ b/benchmarks/fleet_scale/protocol.py
@@ -14,9 +14,8 @@
 
 from violetdoor.control.messages import RelayKey, Version
 
-Ending = Literal[
-    "closed", "silent", "left"
-]  # process dies (connection closes); machine dies (no notice); leaves
+# closed: the process dies and its connection closes; silent: its machine dies without notice; left: orderly end
+Ending = Literal["closed", "silent", "left"]
 
 
 def shared_clock() -> float:
