--- a/benchmarks/fleet_scale/report.py
+++ b/benchmarks/fleet_scale/report.py
@@ -19,9 +19,7 @@
     title: str  # the size of the fleet
     command: str
     bounds: list[Bound] = field(default_factory=list)
-    failures: list[str] = field(
-        default_factory=list
-    )  # unexpected ones, of the harness, the hosts and the processes
+    failures: list[str] = field(default_factory=list)  # unexpected, in the harness, a host or a process
     notes: list[str] = field(default_factory=list)  # how the figures were measured
     phases: list[str] = field(default_factory=list)  # descriptions of what was done
 
