--- a/benchmarks/fleet_scale/links.py
+++ b/benchmarks/fleet_scale/links.py
@@ -1,7 +1,7 @@
-"""TCP connections between regions, passed on by the harness so that a region can be cut off.
+"""TCP proxies between regions, run by the harness so that a region can be cut off.
 
-A cut link goes on accepting and passes nothing: neither side hears of it, as where a route is lost. What was
-under way is passed on after the healing, as TCP would by sending it again.
+A cut link still accepts connections but forwards nothing and closes nothing, as when a route is lost. Pending data
+is forwarded after the link heals, as TCP would do by retransmission.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 from benchmarks.fleet_scale.protocol import Address
 
-CHUNK_BYTES = 64 * 1024
-BACKLOG = 256  # connections that wait to be accepted
+CHUNK_BYTES = 64 * 1024  # most that is read at once
+BACKLOG = 256  # connections that may wait to be accepted
 
 
 class CuttableLink:
-    """A listening address whose connections are passed on to a target."""
+    """A listening address whose connections are forwarded to a target address."""
 
     def __init__(self, host: str, target: Address) -> None:
         self.target = target
@@ -27,22 +27,22 @@
         self._open = asyncio.Event()
         self._open.set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self.forwarded_bytes = 0  # bytes
+        self.forwarded_bytes = 0
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Start accepting connections."""
         self._spawn(self._accept())
 
     def cut(self) -> None:
-        """Pass nothing on, until it is healed."""
+        """Stop forwarding until `heal` is called."""
         self._open.clear()
 
     def heal(self) -> None:
-        """Pass on again."""
+        """Resume forwarding."""
         self._open.set()
 
     async def close(self) -> None:
-        """End all connections."""
+        """Close all connections and stop accepting."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -72,7 +72,7 @@
                 group.create_task(self._pump(accepted, upstream))
                 group.create_task(self._pump(upstream, accepted))
         except* OSError:
-            pass  # either side has broken it: so the other one hears of that
+            pass  # one side has failed: closing both sockets tells the other side
         finally:
             accepted.close()
             upstream.close()
@@ -89,34 +89,34 @@
 
 
 class RegionLinks:
-    """All links of a region that can be cut off: those that lead to it, and those that lead out of it."""
+    """All links into and out of the region that can be cut off."""
 
     def __init__(self, host: str) -> None:
         self.host = host
         self._links: dict[Address, CuttableLink] = {}
 
     def proxied_address(self, target: Address) -> Address:
-        """The address by which the target is reached over a link that can be cut."""
+        """Return the address of the link to a target; start the link at its first use."""
         if target not in self._links:
             link = self._links[target] = CuttableLink(self.host, target)
             link.start()
         return self._links[target].address
 
     def cut(self) -> None:
-        """Cut the region off."""
+        """Cut all links."""
         for link in self._links.values():
             link.cut()
 
     def heal(self) -> None:
-        """Connect it again."""
+        """Heal all links."""
         for link in self._links.values():
             link.heal()
 
     @property
     def forwarded_bytes(self) -> int:
-        """Bytes that have been passed on."""
+        """Return the number of bytes forwarded by all links."""
         return sum(link.forwarded_bytes for link in self._links.values())
 
     async def close(self) -> None:
-        """End all connections."""
+        """Close all links."""
         await asyncio.gather(*(link.close() for link in self._links.values()))
