--- a/benchmarks/fleet_scale/host.py
+++ b/benchmarks/fleet_scale/host.py
@@ -1,6 +1,7 @@
-"""A process of many hollow relays: `python -m benchmarks.fleet_scale.host PLAN`.
+"""A process that hosts many stub relays: `python -m benchmarks.fleet_scale.host PLAN`.
 
-Commands come on stdin and records go to stdout (`protocol`). It ends when told to, or when stdin does.
+It reads commands from stdin and writes records to stdout (`protocol`). It exits on the command to stop, or at the
+end of stdin.
 """
 
 from __future__ import annotations
@@ -22,16 +23,16 @@
 from benchmarks.machine import rss_kib
 from violetdoor.fleet.key_file import read_key
 
-OBSERVE_INTERVAL_S = 0.1  # s: the precision of the times of records
-OWNERS_INTERVAL_S = 0.25  # s
-COUNTS_INTERVAL_S = 0.5  # s
-TRAFFIC_INTERVAL_S = 1.0  # s
-DRAIN_TIMEOUT_S = 5.0  # s that the reader of the records has to take the last ones
-MAX_COMMAND_BYTES = 1 << 20  # bytes of a command: the names of a zone's relays
+OBSERVE_INTERVAL_S = 0.1  # also the precision of the times in records
+OWNERS_INTERVAL_S = 0.25
+COUNTS_INTERVAL_S = 0.5
+TRAFFIC_INTERVAL_S = 1.0
+DRAIN_TIMEOUT_S = 5.0  # for the harness to read the last records
+MAX_COMMAND_BYTES = 1 << 20  # the longest command has the names of all relays of a zone
 
 
 class Host:
-    """Relays of one zone in one process."""
+    """The stub relays of one zone, or of one rack of a zone, in one process."""
 
     def __init__(self, plan: p.HostPlan, write: Callable[[p.Record], None]) -> None:
         self.plan, self.write = plan, write
@@ -40,7 +41,7 @@
         self.relay_plans = {relay.name: relay for relay in plan.relays}
         self.running: dict[str, RunningRelay] = {}
         self.loop = asyncio.get_running_loop()
-        self.observation_cpu_s = 0.0  # s of the processor that the looks took
+        self.observation_cpu_s = 0.0  # CPU seconds spent observing the relays
         self.stopped = asyncio.Event()
         self.service = ServiceRecorder(write)
         self.rosters = RosterRecorder(plan, write)
@@ -50,7 +51,7 @@
     # Commands.
 
     def handle_command(self, command: p.Command) -> None:
-        """Do as the harness says."""
+        """Execute a command from the harness."""
         match command:
             case p.Begin(over=over):
                 self.begin(over)
@@ -66,7 +67,7 @@
                 self.stop()
 
     def begin(self, over: float) -> None:
-        """Start all relays at moments of their own, and look at them from now on."""
+        """Schedule the start of all relays at random times within `over` seconds, and start observing them."""
         for name in self.relay_plans:
             self.loop.call_later(self.random.uniform(0.0, over), self.start, name)
         self._repeat(OBSERVE_INTERVAL_S, lambda now: self.service.observe(now, self.relays))
@@ -85,10 +86,10 @@
         self.write(p.RelayStarted(p.shared_clock(), relay.key))
 
     def end(self, name: str, how: p.Ending) -> None:
-        """End a running relay."""
+        """End a running relay, and record how it ended."""
         relay = self.running.pop(name, None)
         if relay is None:
-            self.write(p.HostFailure(p.shared_clock(), f"{name} does not run and can't be ended"))
+            self.write(p.HostFailure(p.shared_clock(), f"can't end relay {name}: it is not running"))
             return
         now = p.shared_clock()
         relay.end(how)
@@ -96,7 +97,7 @@
         self.write(p.RelayEnded(now, relay.key, how))
 
     def stop(self) -> None:
-        """Write what is not written yet."""
+        """Write all pending records, and end all relays."""
         now = p.shared_clock()
         self.owners.finish()
         self.traffic.finish(now)
@@ -106,7 +107,7 @@
         self.running.clear()
         self.stopped.set()
 
-    # Looks.
+    # Observation.
 
     @property
     def relays(self) -> list[RunningRelay]:
@@ -134,7 +135,7 @@
 
 
 async def serve(plan: p.HostPlan) -> None:
-    """Read commands until told to stop, or until nobody is there to say so."""
+    """Execute commands until the one to stop, or until stdin ends."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MAX_COMMAND_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -159,11 +160,11 @@
 
 
 def main() -> int:
-    """Host the relays of a plan."""
+    """Host the relays of the plan whose file is the first argument."""
     try:
         plan = p.host_plans.decode(Path(sys.argv[1]).read_bytes())
     except (IndexError, OSError, msgspec.MsgspecError) as err:
-        print(f"a host needs the file of its plan: {err}", file=sys.stderr)
+        print(f"can't read the host plan, expected its file as the first argument: {err}", file=sys.stderr)
         return 2
     gc.freeze()
     uvloop.run(serve(plan))
