--- a/benchmarks/fleet_scale/processes.py
+++ b/benchmarks/fleet_scale/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a run: each is started here, read from, looked at in /proc, and ended by its id."""
+"""Child processes of a run: start, output, resource usage from /proc, and termination."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-MAX_LINE_BYTES = 1 << 20  # bytes of one line that a process writes
-STDERR_TAIL_LINES = 30  # of what a process wrote to stderr, for the report of a fault
-TERMINATE_TIMEOUT_S = 8.0  # s that a process has to end after SIGTERM, before it is killed
-CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
+MAX_LINE_BYTES = 1 << 20  # limit of one line of stdout or stderr
+STDERR_TAIL_LINES = 30  # last lines of stderr that are kept for the report of a failure
+TERMINATE_TIMEOUT_S = 8.0  # from SIGTERM until the process is killed
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")  # per second, the unit of CPU times in /proc
 
 LineHandler = Callable[[bytes], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used since its start."""
+    """Resource usage of a process since its start."""
 
-    cpu: float  # s
+    cpu: float  # seconds of CPU time
     rss_kib: int
     rss_peak_kib: int
     descriptors: int
 
 
 class Process:
-    """One running process."""
+    """One child process."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name, self.process = name, process
         self.stderr_tail: deque[str] = deque(maxlen=STDERR_TAIL_LINES)
-        self.end_expected = False  # the run has told it to end, or killed it
+        self.end_expected = False  # the harness has ended or stopped it, so its end is no failure
         self.reader_tasks: list[asyncio.Task[None]] = []
 
     @property
@@ -48,7 +48,7 @@
         return self.process.returncode is None
 
     def usage(self) -> Usage | None:
-        """What it has used; None where it has ended."""
+        """Return its resource usage, or None if it has ended."""
         folder = Path("/proc") / str(self.pid)
         try:
             fields = (folder / "stat").read_text().rpartition(")")[2].split()
@@ -56,13 +56,13 @@
             descriptors = len(os.listdir(folder / "fd"))
         except OSError:
             return None
-        if "VmRSS:" not in status:  # it is a zombie
+        if "VmRSS:" not in status:  # zombie process
             return None
         cpu = (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
         return Usage(cpu, _kib(status, "VmRSS:"), _kib(status, "VmHWM:"), descriptors)
 
     def send(self, line: bytes) -> None:
-        """Write a line to its stdin."""
+        """Write a line to its stdin, if it still runs."""
         if self.process.stdin is not None and self.running:
             self.process.stdin.write(line + b"\n")
 
@@ -72,12 +72,12 @@
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill it with SIGKILL."""
         self.end_expected = True
         self.signal(signal.SIGKILL)
 
     async def end(self) -> None:
-        """Let it end in order; kill it where that takes too long."""
+        """Terminate it with SIGTERM; kill it if it doesn't exit within TERMINATE_TIMEOUT_S."""
         self.end_expected = True
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
@@ -94,7 +94,7 @@
 
 
 class Processes:
-    """All processes of a run. Leaving the context ends those that still run, also after a failure."""
+    """All child processes of a run. Leaving the context kills those that still run, also after an exception."""
 
     def __init__(self) -> None:
         self.all: list[Process] = []
@@ -113,7 +113,7 @@
     async def start(
         self, name: str, arguments: Sequence[str], folder: Path, on_line: LineHandler | None = None
     ) -> Process:
-        """Start `python -m ...` with these arguments; `on_line` gets what it writes to stdout."""
+        """Start `python -m` with these arguments; `on_line` is called with each line of its stdout."""
         scratch = folder / f"tmp-{name}"
         scratch.mkdir(exist_ok=True)
         process = await asyncio.create_subprocess_exec(
@@ -132,7 +132,7 @@
         return one
 
     def failures(self) -> list[str]:
-        """Processes that ended without being told to, with the last that each of them said."""
+        """Describe each process that ended unexpectedly, with the end of its stderr."""
         found = []
         for one in self.all:
             if one.running or one.end_expected:
