--- a/benchmarks/fleet_scale/layout.py
+++ b/benchmarks/fleet_scale/layout.py
@@ -1,4 +1,4 @@
-"""Which control machines and relays there are, and where they listen: all out of four numbers."""
+"""The control machines, zones and relays of a fleet and their addresses, derived from its `Size`."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 from benchmarks.fleet_scale.protocol import Address, StubRelay
 
-GROUP_PORT, SESSION_PORT, CONSOLE_PORT, CLIENT_PORT = 7946, 7950, 8500, 8081  # on addresses of the run's own
-MIN_GROUP_SIZE, MAX_GROUP_SIZE = 3, 7  # control machines of a region
-MAX_MACHINES = 200  # addresses that one run has
-RACK_RELAYS = 40  # relays of a rack, and at most
-RACK_ZONE_DIVISOR = 4  # this part of a zone
-REAL_PORT_BASE = 20_000  # of real relays, which share one address
+GROUP_PORT, SESSION_PORT, CONSOLE_PORT, CLIENT_PORT = 7946, 7950, 8500, 8081  # on the run's own addresses
+MIN_GROUP_SIZE, MAX_GROUP_SIZE = 3, 7  # control machines per region
+MAX_MACHINES = 200  # limited by the addresses of one run
+RACK_RELAYS = 40  # per rack, unless RACK_ZONE_DIVISOR allows fewer
+RACK_ZONE_DIVISOR = 4  # a rack holds at most a quarter of its zone's relays
+REAL_PORT_BASE = 20_000  # real relays use the ports after this one, on one shared address
 
 
 class LayoutError(Exception):
-    """These numbers make no fleet; the text says why."""
+    """No fleet of this size can be laid out; the message says why."""
 
 
 class Network:
-    """Loopback addresses that only this run uses for as long as it is open: others draw others."""
+    """A /24 block of loopback addresses, reserved for this run until `close` by a bound UDP socket."""
 
     def __init__(self) -> None:
         for _ in range(1000):
@@ -34,21 +34,21 @@
                 return
             except OSError:
                 self._guard.close()
-        raise LayoutError("no loopback addresses are free")
+        raise LayoutError("no free block of loopback addresses found")
 
     def host(self, number: int) -> str:
-        """One address."""
+        """Return the address with this last byte."""
         return f"{self.prefix}.{number}"
 
     def close(self) -> None:
-        """Give the addresses up."""
+        """Release the addresses."""
         with contextlib.suppress(OSError):
             self._guard.close()
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """How large the fleet is."""
+    """The numbers of relays, control machines, regions and zones."""
 
     relays: int
     control: int
@@ -56,7 +56,7 @@
     zones: int
 
     def check(self) -> None:
-        """Raise LayoutFaultError where no fleet is of this size."""
+        """Raise LayoutError if no fleet of this size can be laid out."""
         if (
             not MIN_GROUP_SIZE * self.regions
             <= self.control
@@ -67,9 +67,11 @@
                 f"expected {MIN_GROUP_SIZE} to {MAX_GROUP_SIZE} a region, {MAX_MACHINES} in all"
             )
         if not self.regions <= self.zones:
-            raise LayoutError(f"{self.zones} zones for {self.regions} regions: expected one a region")
+            raise LayoutError(
+                f"{self.zones} zones for {self.regions} regions: expected at least one per region"
+            )
         if self.relays < 4 * self.zones:
-            raise LayoutError(f"{self.relays} relays for {self.zones} zones: expected four a zone")
+            raise LayoutError(f"{self.relays} relays for {self.zones} zones: expected at least four per zone")
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RealRelay:
-    """A relay that runs as a process of the program."""
+    """A relay that runs as a violetdoor process."""
 
     name: str
     zone: str
@@ -106,11 +108,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Zone:
-    """The relays of one zone. Those of its rack are hosted by a process of their own."""
+    """The relays of one zone. The stub relays in its rack are hosted by a separate process."""
 
     name: str
     region: str
-    stubs: tuple[StubRelay, ...]
+    stubs: tuple[StubRelay, ...]  # those outside the rack
     rack: tuple[StubRelay, ...]
     real: tuple[RealRelay, ...]
 
@@ -123,14 +125,14 @@
     regions: tuple[str, ...]
     machines: tuple[ControlMachine, ...]
     zones: tuple[Zone, ...]
-    unattached: RealRelay  # without a control plane, to compare with
+    unattached: RealRelay  # relay without a control plane, as a baseline of memory usage
 
     def group(self, region: str) -> tuple[ControlMachine, ...]:
-        """The control machines of a region."""
+        """Return the control machines of a region."""
         return tuple(m for m in self.machines if m.region == region)
 
     def zones_of(self, region: str) -> tuple[Zone, ...]:
-        """The zones of a region."""
+        """Return the zones of a region."""
         return tuple(z for z in self.zones if z.region == region)
 
     @property
@@ -139,12 +141,12 @@
 
 
 def split_evenly(total: int, parts: int) -> list[int]:
-    """A total in as equal parts as there can be, larger ones first."""
+    """Split a total into parts that differ by at most one, larger parts first."""
     return [total // parts + (n < total % parts) for n in range(parts)]
 
 
 def build_layout(size: Size, network: Network, real: int) -> Layout:
-    """The fleet of this size, with so many real relays spread over its zones."""
+    """Lay out a fleet of this size, `real` of its relays as processes spread over the zones."""
     size.check()
     regions = tuple(f"region-{n:02d}" for n in range(size.regions))
     machines = _machines(size, regions, network)
@@ -176,7 +178,7 @@
 
 
 class _Ports:
-    """Ports of one address, one after another."""
+    """Allocates consecutive ports of one address."""
 
     def __init__(self, host: str) -> None:
         self.host, self.next = host, REAL_PORT_BASE
