--- a/benchmarks/fleet_scale/run.py
+++ b/benchmarks/fleet_scale/run.py
@@ -1,4 +1,4 @@
-"""One run from start to end: the fleet is laid out, brought up, played with, ended and judged."""
+"""One run: lay out and start the fleet, run the timeline, end all processes, and compare figures with bounds."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from benchmarks.fleet_scale.timeline import Schedule, Timeline
 from benchmarks.fleet_scale.verdict import RestFigures, Verdict, rest_figures, virtual_bounds
 
-SMALL_SIZE = Size(700, 7, 2, 4)  # what a relay takes is compared with a fleet of this size
-SMALL_REAL = 2
-SMALL_START_S = 8.0  # s over which its relays are started
-KEY_COUNT = 200
-MIN_REGIONS_FOR_CUT = 2  # regions, where one can be cut off
+SMALL_SIZE = Size(700, 7, 2, 4)  # the cost of a relay is compared with its cost in a fleet of this size
+SMALL_REAL = 2  # real relays of the small fleet
+SMALL_START_S = 8.0  # over which its relays are started
+KEY_COUNT = 200  # keys whose owners are sampled
+MIN_REGIONS_FOR_CUT = 2  # with fewer, no region is cut off
 
 NOTES = (
     "Control machines and real relays are processes of the program; hollow relays are its attachment and its "
@@ -51,15 +51,15 @@
 
     size: Size
     schedule: Schedule
-    real: int  # relays that are processes of the program
+    real: int  # relays that run as violetdoor processes
     seed: int
     command: str
-    compare: bool  # with a small fleet at rest
-    virtual: bool  # play also what takes an hour, in virtual time
+    compare: bool  # first measure a small fleet at rest, and compare
+    virtual: bool  # also run the hour-long scenarios in virtual time
 
 
 async def run(request: Request) -> Outcome:
-    """Play it; what broke is in the outcome."""
+    """Run the request; failures are reported in the outcome."""
     small = None
     if request.compare:
         small = await _run_small_fleet(request)
@@ -101,7 +101,7 @@
 
 
 async def _run_small_fleet(request: Request) -> RestFigures:
-    """What a relay takes at rest in a small fleet."""
+    """Measure the cost of a relay at rest in a small fleet."""
     network = Network()
     layout = build_layout(SMALL_SIZE, network, SMALL_REAL)
     try:
