--- a/benchmarks/fleet_scale/hollow.py
+++ b/benchmarks/fleet_scale/hollow.py
@@ -1,4 +1,4 @@
-"""One hollow relay: the attachment with its real connection code, and nothing else of a relay."""
+"""A stub relay: the control plane client of a relay with its real connection code, and no other part of one."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RunningRelay:
-    """One instance of a hollow relay, from its start to its end."""
+    """One instance of a stub relay, from its start to its end."""
 
     def __init__(self, relay: p.StubRelay, plan: p.HostPlan, key: bytes) -> None:
         controls = tuple((address.host, address.port) for address in plan.controls)
@@ -23,22 +23,22 @@
         self.client.start()
         self.attachment = self.client.attachment
         self.key: RelayKey = relay_key(self.attachment.relay)
-        self.in_service = False  # it has been in its roster with a lease
-        self.without_lease = False  # it was without a lease at the last look
+        self.in_service = False  # has been listed in its roster while it held a lease
+        self.without_lease = False  # was in service and held no lease at the last observation
 
-    # What is looked at.
+    # Observed state.
 
     def may_act(self, now: float) -> bool:
-        """Whether it holds a lease."""
+        """Return whether it holds a lease."""
         return self.attachment.may_act(now)
 
     def owns(self, key: str, now: float) -> bool:
-        """Whether it says that a key is its own."""
+        """Return whether it claims to own a key."""
         return self.attachment.owns(key, now)
 
     @property
     def roster(self) -> Roster | None:
-        """The roster that it knows."""
+        """The newest roster that it knows, if any."""
         return self.attachment.roster
 
     @property
@@ -47,22 +47,22 @@
         return roster is not None and roster.contains(self.key)
 
     def count_version(self, region: str) -> Version | None:
-        """The version of its count of another region."""
+        """Return the version of the relay count that it knows of another region, or None."""
         count = self.attachment.membership.region_counts.get(region)
         return None if count is None else count.version
 
     def counted_relays(self, region: str) -> int:
-        """How many live in another region, by its count."""
+        """Return the number of living relays in another region by the count that it knows, or 0."""
         count = self.attachment.membership.region_counts.get(region)
         return 0 if count is None else sum(zone.relay_count for zone in count.zones)
 
     @property
     def connection(self) -> Connection[SessionResponse] | None:
-        """The connection of its session, if one stands."""
+        """The connection of its session with a control machine, if there is one."""
         return self.client.connection
 
     def kernel_counts(self) -> Counts | None:
-        """What the kernel has counted on its connection; None where it has none."""
+        """Return the kernel's counts of its connection, or None without an open connection."""
         sock = None if self.connection is None else self.connection.socket
         if sock is None:
             return None
@@ -72,19 +72,19 @@
             return None
 
     def payload_counts(self) -> Counts:
-        """What the connection's code has counted since this relay's start."""
+        """Return the counts of the connection's code since the relay's start."""
         counts = self.client.counters
         return Counts(counts["bytes_out"], counts["bytes_in"], counts["writes"], counts["frames_in"])
 
-    # Its end.
+    # End.
 
     def end(self, how: p.Ending) -> None:
-        """End it: in order, with its process, or with its machine, of which nobody hears."""
+        """End it as if it left in order, its process died, or its machine died without notice."""
         if how == "left":
             self.client.leave()
             self.client.abort(immediate=False)
             return
         if how == "silent":
-            # The socket stays open, and what comes on it is dropped: nobody hears of the end.
+            # Detach the connection so that abort() leaves its socket open: the other side gets no notice.
             self.client.dialer.connection = None
         self.client.abort()
