--- a/benchmarks/fleet_scale/__main__.py
+++ b/benchmarks/fleet_scale/__main__.py
@@ -1,6 +1,6 @@
-"""A large fleet on loopback, with faults: `python -m benchmarks.fleet_scale [--quick] [--write]`.
+"""Measure a large fleet on loopback under faults: `python -m benchmarks.fleet_scale [--quick] [--write]`.
 
-Exit status 0 only where every bound was kept; 1 with what broke; 2 where the numbers make no fleet.
+Exit status: 0 if every bound was met, 1 on a missed bound or a failure, 2 if no fleet has the given numbers.
 """
 
 from __future__ import annotations
@@ -21,26 +21,30 @@
 from benchmarks.fleet_scale.timeline import FULL, QUICK
 
 FULL_SIZE, QUICK_SIZE = Size(5600, 46, 10, 24), Size(700, 7, 2, 4)
-REAL, QUICK_REAL = 20, 2  # relays that are processes of the program
+REAL, QUICK_REAL = 20, 2  # relays that run as violetdoor processes
 
 
 def parse(arguments: list[str] | None = None) -> argparse.Namespace:
-    """The command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.fleet_scale", description=__doc__)
-    parser.add_argument("--relays", type=int, help="hollow and real ones together")
-    parser.add_argument("--control", type=int, help="control machines, three to seven a region")
+    parser.add_argument("--relays", type=int, help="stub and real relays together")
+    parser.add_argument("--control", type=int, help="control machines, three to seven per region")
     parser.add_argument("--regions", type=int)
     parser.add_argument("--zones", type=int)
-    parser.add_argument("--seconds", type=float, help="that a region is cut off")
+    parser.add_argument("--seconds", type=float, help="duration for which a region is cut off")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--quick", action="store_true", help="700 relays and short phases: within 45 s")
-    parser.add_argument("--alone", action="store_true", help="no small fleet before, nothing in virtual time")
-    parser.add_argument("--write", action="store_true", help="keep the result in docs/measurements")
+    parser.add_argument(
+        "--alone",
+        action="store_true",
+        help="skip the small fleet for comparison and the scenarios in virtual time",
+    )
+    parser.add_argument("--write", action="store_true", help="write the result page to docs/measurements")
     return parser.parse_args(arguments)
 
 
 def request(args: argparse.Namespace) -> Request:
-    """What to run, by the command line; raises LayoutFaultError."""
+    """Build the request from the command line. Raises LayoutError if no fleet has the given numbers."""
     normal, schedule = (QUICK_SIZE, QUICK) if args.quick else (FULL_SIZE, FULL)
     size = Size(
         normal.relays if args.relays is None else args.relays,
@@ -62,7 +66,7 @@
 
 
 def show(outcome: Outcome) -> None:
-    """Print the page, what broke, and the figures in the last line."""
+    """Print the page, failures and missed bounds, and the figures in the last line."""
     print(page(outcome))
     for failure in outcome.failures:
         print(f"BROKE: {failure}")
@@ -74,7 +78,7 @@
 
 
 async def run_until_told(wanted: Request) -> Outcome:
-    """Run; SIGTERM ends all processes of the run before its own."""
+    """Run the request. On SIGTERM, end all child processes before this process."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -82,7 +86,7 @@
 
 
 def main() -> int:
-    """Run, print, and keep the result where that is asked for."""
+    """Run and print the result, and write the result page if requested."""
     args = parse()
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(relativeCreated)7d ms %(message)s")
     try:
@@ -94,7 +98,7 @@
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             outcome = runner.run(run_until_told(wanted))
     except asyncio.CancelledError:
-        print("fleet_scale: told to end; all its processes are ended", file=sys.stderr)
+        print("fleet_scale: terminated by SIGTERM; all child processes have ended", file=sys.stderr)
         return 1
     show(outcome)
     if args.write:
