--- a/benchmarks/fleet_scale/timeline.py
+++ b/benchmarks/fleet_scale/timeline.py
@@ -1,4 +1,4 @@
-"""The faults of a run, phase by phase, in regions that do not touch each other."""
+"""The phases of a run and the faults injected in each, in separate regions where there are enough of them."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
 
 log = logging.getLogger("fleet_scale")
 
-RESTARTS_PER_DAY = 3900  # of 5,600 relays
-DAY = 86_400.0  # s
-RESTART_SPEEDUP = 100.0  # times as fast as the day's restarts come
-RELAYS_OF_RESTARTS_PER_DAY = 5600
-MIN_RESTARTS = 4  # also where so few relays would have fewer at that pace
-RESTART_DOWNTIME_S = 0.2  # s that a restarted relay is away
+RESTARTS_PER_DAY = 3900  # in a fleet of REFERENCE_RELAYS
+DAY_S = 86_400.0
+RESTART_SPEEDUP = 100.0  # restarts come so many times as often as on an ordinary day
+REFERENCE_RELAYS = 5600
+MIN_RESTARTS = 4  # for small fleets, whose rate would give fewer
+RESTART_DOWNTIME_S = 0.2  # between the end of a relay and its next start
 ENDINGS: tuple[p.Ending, ...] = ("closed", "silent", "left")
-AUDIT_INTERVAL_S = 0.5  # s
-MIN_HEALED_S = 4.0  # s after a healing in which bytes are looked at
-FLEET_START_TIMEOUT_S = 90.0  # s until all relays are in service after the start
-MIN_GROUP_FOR_TWO_DEATHS = 5  # machines of a group that goes on with two of them dead
+AUDIT_INTERVAL_S = 0.5
+MIN_HEALED_S = 4.0  # least duration of the phase after the healing, in which traffic is measured
+FLEET_START_TIMEOUT_S = 90.0  # from the start until all relays are in service
+MIN_GROUP_FOR_TWO_DEATHS = 5  # the smallest group that keeps its majority with two machines dead
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """How long the phases take; seconds."""
-
-    start: float  # over which relays are started
-    settle: float  # from the last start to the rest; a member's keys are its own 7.5 s after it came
-    rest: float
-    churn: float
-    single_ends: int  # of each kind
-    spacing: float  # from one of them to the next
-    known: float  # from the last end to the cut
+    """Durations of the phases, in seconds."""
+
+    start: float  # within which all relays are started
+    settle: float  # once all are in service, before the rest; a member owns its keys 7.5 s after it joined
+    rest: float  # without faults
+    churn: float  # with restarts
+    single_ends: int  # number (no duration) of relays ended in each way
+    spacing: float  # between two such ends
+    detection: float  # from the last end to the cut
     cut: float
-    second_kill: float  # from the first control machine's death to the second one's
-    agree: float = 15.0  # from the healing, in which all are to know one roster again
+    second_kill: float  # from the kill of one control machine to the next, or to the end of the window
+    agreement_timeout: float = 15.0  # from the healing until all must know the same rosters
 
 
 FULL = Schedule(12.0, 5.0, 12.0, 20.0, 14, 0.25, 15.0, 60.0, 20.0)
@@ -53,30 +53,30 @@
 
 @dataclass
 class TimelineResult:
-    """What was done, for the measures."""
+    """What was done in a run, as input to the measures."""
 
-    single_ends: list[str] = field(default_factory=list)  # names of relays that were ended one by one
+    single_ends: list[str] = field(default_factory=list)  # names of relays that were ended individually
     rack: tuple[RelayKey, ...] = ()
     zone: tuple[RelayKey, ...] = ()
     cut_at: float = 0.0
-    agreement: Agreement | None = None  # after the healing
-    agreed_after: float = NEVER  # s from the healing
-    first_kill: Window | None = None
+    agreement: Agreement | None = None  # of the last audit after the healing
+    agreed_after: float = NEVER  # seconds from the healing to the audit that found all in agreement
+    first_kill: Window | None = None  # from the kill of the first control machine
     second_kill: Window | None = None
     killed_region: str = ""
     cut_region: str = ""
-    steps: list[str] = field(default_factory=list)
+    steps: list[str] = field(default_factory=list)  # descriptions for the result page
 
 
 class Timeline:
-    """Plays a schedule on a fleet."""
+    """Runs the phases of a schedule on a fleet."""
 
     def __init__(self, fleet: Fleet, schedule: Schedule) -> None:
         self.fleet, self.schedule = fleet, schedule
         self.random = Random(fleet.seed)
         self.result = TimelineResult()
         regions = fleet.layout.regions
-        # Roles of regions: with ten each has its own, with two the first takes all faults but the cut.
+        # With ten regions each kind of fault has its own region; with two the first has all but the cut.
         self.rack_zone, self.dead_zone = self._choose_zones(regions)
         self.control_kill_region = self._largest_group(regions[2:-1] or regions[:1])
         self.cut_region = fleet.cut_region
@@ -103,7 +103,7 @@
         log.info("%s", text)
 
     async def run(self) -> TimelineResult:
-        """All phases; FleetFaultError where the fleet does not come up."""
+        """Run all phases. Raises FleetStartError if the fleet does not start."""
         await self.begin()
         async with self._phase("rest"):
             await asyncio.sleep(self.schedule.rest)
@@ -121,18 +121,18 @@
         return self.result
 
     async def run_rest_only(self) -> None:
-        """The start and a rest, and nothing else."""
+        """Run the start and the phase of rest only."""
         await self.begin()
         async with self._phase("rest"):
             await asyncio.sleep(self.schedule.rest)
 
     async def begin(self) -> None:
-        """Bring the fleet up and let it settle."""
+        """Start the fleet, wait until all relays are in service, and let it settle."""
         begin = p.shared_clock()
         await self.fleet.start_controls()
-        log.info("control machines run, %.1f s", p.shared_clock() - begin)
+        log.info("control machines run after %.1f s", p.shared_clock() - begin)
         await asyncio.gather(self.fleet.start_hosts(self.schedule.start), self.fleet.start_real())
-        log.info("hosts and real relays run, %.1f s", p.shared_clock() - begin)
+        log.info("hosts and real relays run after %.1f s", p.shared_clock() - begin)
         if not await self.fleet.wait_for(self.fleet.all_started, FLEET_START_TIMEOUT_S):
             raise FleetStartError(
                 f"not all relays are in service within {FLEET_START_TIMEOUT_S:g} s: {self._missing()}"
@@ -145,17 +145,13 @@
     def _missing(self) -> str:
         census = [host.census[-1] for host in self.fleet.history.hosts.values() if host.census]
         running, acting = sum(c.running for c in census), sum(c.acting for c in census)
-        return f"{running} run, {acting} hold a lease; {'; '.join(self.fleet.processes.failures())}"
+        return (
+            f"{running} stub relays run, {acting} hold a lease; {'; '.join(self.fleet.processes.failures())}"
+        )
 
     async def churn(self) -> None:
-        """Restarts in order, at the pace of a day played faster."""
-        rate = (
-            RESTART_SPEEDUP
-            * RESTARTS_PER_DAY
-            / DAY
-            * self.fleet.layout.size.relays
-            / RELAYS_OF_RESTARTS_PER_DAY
-        )
+        """Restart random relays in order, at RESTART_SPEEDUP times the rate of an ordinary day."""
+        rate = RESTART_SPEEDUP * RESTARTS_PER_DAY / DAY_S * self.fleet.layout.size.relays / REFERENCE_RELAYS
         count = max(MIN_RESTARTS, round(rate * self.schedule.churn))
         names = sorted(self.fleet.history.running)
         chosen = self.random.sample(names, count)
@@ -165,7 +161,7 @@
         self._step(f"{count} relays restarted one by one, over {self.schedule.churn:g} s.")
 
     async def single_ends(self) -> None:
-        """Relays that die with their process, die with their machine, or leave, in all regions in turn."""
+        """End single relays in all regions in turn: their process dies, their machine dies, or they leave."""
         living = {region: self.fleet.running_stubs(region) for region in self.fleet.layout.regions}
         spared = {
             relay.name for zone in (self.rack_zone, self.dead_zone) for relay in (*zone.rack, *zone.stubs)
@@ -185,17 +181,17 @@
         )
 
     async def many_ends(self) -> None:
-        """A rack's machines die in one region, a zone's processes in another one."""
+        """End all relays of a rack (their machines die) and of a zone (their processes die) at once."""
         self.result.rack = self.fleet.stop_rack(self.rack_zone)
         self.result.zone = self.fleet.kill_zone(self.dead_zone)
         self._step(
             f"At once: a rack's {len(self.result.rack)} relays went silent in {self.rack_zone.region}, and the "
-            f"{len(self.result.zone)} of a zone died in {self.dead_zone.region}; {self.schedule.known:g} s to know."
+            f"{len(self.result.zone)} of a zone died in {self.dead_zone.region}; {self.schedule.detection:g} s to know."
         )
-        await asyncio.sleep(self.schedule.known)
+        await asyncio.sleep(self.schedule.detection)
 
     async def cut(self) -> None:
-        """Cut a region off, for a while."""
+        """Cut a region off for the duration of the schedule."""
         assert self.cut_region is not None
         self.result.cut_region = self.cut_region
         self.result.cut_at = p.shared_clock()
@@ -204,7 +200,7 @@
         self._step(f"{self.cut_region} was cut off from all others for {self.schedule.cut:g} s.")
 
     async def kill_controls(self) -> None:
-        """Meanwhile kill a control machine of another region, and of a group of five a second one."""
+        """Kill a control machine of another region during the cut, and a second one in a group of five or more."""
         group = self.fleet.layout.group(self.control_kill_region)
         self.result.killed_region = self.control_kill_region
         self.result.first_kill = await self._kill_control(group[0], self.schedule.second_kill)
@@ -221,18 +217,21 @@
         return Window(begin, p.shared_clock())
 
     async def heal(self) -> None:
-        """Connect the region again, and ask until all relays stand at one roster."""
+        """Heal the links, and audit until all relays agree on the rosters or the timeout has passed."""
         self.fleet.links.heal()
         healed_at = p.shared_clock()
         while True:
             await asyncio.sleep(AUDIT_INTERVAL_S)
-            stands = agreement(self.fleet.history, await self.fleet.audit())
-            if stands.disagreeing_regions == 0 or p.shared_clock() - healed_at > self.schedule.agree:
+            audited = agreement(self.fleet.history, await self.fleet.audit())
+            if (
+                audited.disagreeing_regions == 0
+                or p.shared_clock() - healed_at > self.schedule.agreement_timeout
+            ):
                 break
         await asyncio.sleep(max(0.0, healed_at + MIN_HEALED_S - p.shared_clock()))
-        self.result.agreement = stands
-        self.result.agreed_after = stands.last_at - healed_at if stands.disagreeing_regions == 0 else NEVER
+        self.result.agreement = audited
+        self.result.agreed_after = audited.last_at - healed_at if audited.disagreeing_regions == 0 else NEVER
         self._step(
             f"Healed; all relays were asked for their rosters and counts every {AUDIT_INTERVAL_S:g} s, for "
-            f"{self.schedule.agree:g} s at the most."
+            f"{self.schedule.agreement_timeout:g} s at the most."
         )
