--- a/benchmarks/fleet_scale/fleet.py
+++ b/benchmarks/fleet_scale/fleet.py
@@ -1,4 +1,4 @@
-"""Everything that runs, and what is done to it: the faults of the time line in terms of processes."""
+"""The processes of a run: their start and end, and the injection of faults into them."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from violetdoor.control.messages import RelayKey
 
 CONTROL_PROGRAM = ("violetdoor", "control", "--config")
-SAMPLE_INTERVAL_S = 1.0  # s between two looks at the processes
-WAIT_POLL_INTERVAL_S = 0.1  # s between two looks whether what is waited for has come
-MAX_CONCURRENT_STARTS = 8  # processes that are started beside each other
-PROCESS_START_TIMEOUT_S = 30.0  # s until a started process answers its console
-HOST_REPLY_TIMEOUT_S = 10.0  # s that a host has to write what it has not written
-CONSOLE_TIMEOUT_S = 2.0  # s that a console has to answer
+SAMPLE_INTERVAL_S = 1.0  # between two samples of the resource usage of processes
+WAIT_POLL_INTERVAL_S = 0.1  # between two checks of a condition that is waited for
+MAX_CONCURRENT_STARTS = 8  # processes that are started concurrently
+PROCESS_START_TIMEOUT_S = 30.0  # until the console of a started process answers
+HOST_REPLY_TIMEOUT_S = 10.0  # for a host to write its pending records or the answer to an audit
+CONSOLE_TIMEOUT_S = 2.0  # for one request to a console
 
 
 class FleetStartError(Exception):
-    """The fleet of the run could not be brought up: nothing can be said of it."""
+    """The fleet of the run did not start, so the run has no figures."""
 
 
 class Fleet:
-    """The processes of one run, and their history."""
+    """The processes of a run, and the history of what they report."""
 
     def __init__(
         self, layout: Layout, network: Network, folder: Path, processes: Processes, keys: KeyPlan, seed: int,
@@ -46,7 +46,7 @@
         self.controls: dict[str, Process] = {}
         self.hosts: dict[str, Process] = {}
         self.real: dict[str, Process] = {}
-        self.host_of: dict[str, str] = {}  # by the names of hollow relays
+        self.host_of: dict[str, str] = {}  # names of hosts by names of stub relays
         self.random = Random(seed)
         self._audits = 0
         self._sampling: asyncio.Task[None] | None = None
@@ -54,7 +54,7 @@
     # Starting.
 
     async def start_controls(self) -> None:
-        """Start all control machines, and wait until each can grant leases."""
+        """Start all control machines, and wait until each passes its health check, so that it can grant leases."""
         configs.write_key(self.folder)
         machines = self.layout.machines
         await self._await_limited(self._start_control(machine) for machine in machines)
@@ -68,7 +68,7 @@
         await self._wait_for_console(process, machine.console, any_answer=True)
 
     def _regions_seen_by(self, machine: ControlMachine) -> dict[str, tuple[p.Address, ...]]:
-        """Where a machine reaches each region: over links that can be cut, from and to the region to be cut off."""
+        """Return each region's session addresses for a machine, through links where the cut applies."""
         return {
             region: tuple(self._route(machine.region, other) for other in self.layout.group(region))
             for region in self.layout.regions
@@ -79,7 +79,7 @@
         return self.links.proxied_address(other.sessions) if crosses else other.sessions
 
     async def start_hosts(self, over: float) -> None:
-        """Start all hosts, and their relays spread over so many seconds."""
+        """Start all hosts, and let them start their relays within `over` seconds."""
         await self._await_limited(
             self._start_host(zone, rack) for zone in self.layout.zones for rack in (False, True)
         )
@@ -100,15 +100,15 @@
         self.history.hosts[name] = HostHistory(zone.region, names)
         self.host_of |= dict.fromkeys(names, name)
 
-        def take(line: bytes) -> None:
+        def add_line(line: bytes) -> None:
             self.history.add_line(name, line)
 
         self.hosts[name] = await self.processes.start(
-            name, ["benchmarks.fleet_scale.host", str(path)], self.folder, take
+            name, ["benchmarks.fleet_scale.host", str(path)], self.folder, add_line
         )
 
     async def start_real(self) -> None:
-        """Start the real relays, and one without a control plane to see what that takes."""
+        """Start the real relays, and one without a control plane as a baseline of its resource usage."""
         await self._await_limited(self._start_real(relay) for relay in self.layout.real)
         await self._start_unattached()
 
@@ -142,7 +142,7 @@
         await asyncio.gather(*(one(start) for start in starts))
 
     async def _wait_for_console(self, process: Process, console: p.Address, any_answer: bool = False) -> None:
-        """Wait until a process says at its console that it is in service, or anything."""
+        """Wait until the console's health check passes, or with `any_answer` gives any answer."""
         loop = asyncio.get_running_loop()
         until = loop.time() + PROCESS_START_TIMEOUT_S
         while loop.time() < until and process.running:
@@ -152,10 +152,11 @@
             await asyncio.sleep(WAIT_POLL_INTERVAL_S)
         stderr_tail = " | ".join(process.stderr_tail)
         raise FleetStartError(
-            f"{process.name} does not answer {console} within {PROCESS_START_TIMEOUT_S:g} s: {stderr_tail}"
+            f"console {console} of {process.name} did not answer as expected within "
+            f"{PROCESS_START_TIMEOUT_S:g} s: {stderr_tail}"
         )
 
-    # Looking.
+    # Observation.
 
     async def _sample(self) -> None:
         while True:
@@ -166,7 +167,7 @@
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     async def wait_for(self, condition: Callable[[], bool], timeout_s: float) -> bool:
-        """Wait until something is so; False if that takes too long."""
+        """Wait for a condition. Return False on the timeout or the failure of a process."""
         loop = asyncio.get_running_loop()
         until = loop.time() + timeout_s
         while not condition():
@@ -176,7 +177,7 @@
         return True
 
     def all_in_service(self) -> bool:
-        """Whether all hollow relays that should run are in a roster and hold a lease."""
+        """Return whether all running stub relays are listed in their roster and hold a lease."""
         for host in self.history.living_hosts(p.shared_clock()):
             if not host.census:
                 return False
@@ -186,17 +187,17 @@
         return True
 
     def all_started(self) -> bool:
-        """Whether all hollow relays have been started, and are in service."""
+        """Return whether all stub relays of all hosts have been started and are in service."""
         wanted = sum(len(host.names) for host in self.history.hosts.values())
         return len(self.history.running) == wanted and self.all_in_service()
 
     def running_stubs(self, region: str) -> list[str]:
-        """Names of the running hollow relays of a region."""
+        """Return the names of the running stub relays of a region."""
         names = (name for host in self.history.hosts.values() if host.region == region for name in host.names)
         return sorted(name for name in names if name in self.history.running)
 
     async def audit(self) -> int:
-        """Let all hosts report where their relays stand; the number of the audit."""
+        """Make all hosts report what their relays know. Return the number of the audit."""
         self._audits += 1
         number = self._audits
         living = list(self.history.living_hosts(p.shared_clock()))
@@ -215,15 +216,15 @@
         self.hosts[host].send(p.encode(command))
 
     def end_relay(self, name: str, how: p.Ending) -> None:
-        """End one hollow relay."""
+        """End one stub relay."""
         self._command(self.host_of[name], p.EndRelays((name,), how))
 
     def restart_relay(self, name: str, down: float) -> None:
-        """Let one hollow relay leave and start again."""
+        """Make one stub relay leave, and start it again after `down` seconds."""
         self._command(self.host_of[name], p.RestartRelay(name, down))
 
     def stop_rack(self, zone: Zone) -> tuple[RelayKey, ...]:
-        """A rack's machines die: no connection ends, and nobody answers."""
+        """Stop a rack's host as if its machines died: connections stay open. Return its relays."""
         name = rack_host(zone)
         at = p.shared_clock()
         self.hosts[name].end_expected = True
@@ -231,7 +232,7 @@
         return self.history.add_host_end(name, at, "silent")
 
     def kill_zone(self, zone: Zone) -> tuple[RelayKey, ...]:
-        """All processes of a zone's relays die at once."""
+        """Kill all real relays and hosts of a zone. Return the stub relays that ended."""
         at = p.shared_clock()
         lost: tuple[RelayKey, ...] = ()
         for relay in zone.real:
@@ -244,13 +245,13 @@
         return lost
 
     def kill_control(self, machine: ControlMachine) -> None:
-        """A control machine's process dies."""
+        """Kill the process of a control machine."""
         self.controls[machine.name].kill()
 
     # The end.
 
     async def close(self) -> None:
-        """Let the hosts write what they have not written; what then still runs is killed with the processes."""
+        """Stop the hosts once their pending records are written; `Processes` kills what runs after that."""
         if self._sampling is not None:
             self._sampling.cancel()
         stopping = []
@@ -264,23 +265,25 @@
             stopping, await asyncio.gather(*waits, return_exceptions=True), strict=True
         ):
             if isinstance(ended, BaseException):
-                self.history.failures.append(f"{process.name} did not stop within {HOST_REPLY_TIMEOUT_S:g} s")
+                self.history.failures.append(
+                    f"{process.name} did not exit on the command to stop within {HOST_REPLY_TIMEOUT_S:g} s"
+                )
         await asyncio.gather(*(task for one in stopping for task in one.reader_tasks), return_exceptions=True)
         await self.links.close()
 
 
 def zone_host(zone: Zone) -> str:
-    """The process that hosts a zone's relays, but for a rack."""
+    """Return the name of the host of a zone's stub relays outside its rack."""
     return f"host-{zone.name}"
 
 
 def rack_host(zone: Zone) -> str:
-    """The process that hosts the relays of a zone's rack."""
+    """Return the name of the host of the stub relays in a zone's rack."""
     return f"host-{zone.name}-rack"
 
 
 async def call(console: p.Address, method: str, path: str) -> int | None:
-    """Call a console; the status of its answer, or nothing where it does not answer."""
+    """Send a request to a console. Return the HTTP status, or None without a valid answer."""
     try:
         async with asyncio.timeout(CONSOLE_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(console.host, console.port)
