--- a/benchmarks/fleet_scale/looks.py
+++ b/benchmarks/fleet_scale/looks.py
@@ -1,4 +1,4 @@
-"""What a host records of its relays: each class looks at one thing, and writes records where it has changed."""
+"""Recorders that observe the relays of a host and write records of what has changed, one aspect per class."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 Write = Callable[[p.Record], None]
 Relays = Sequence[RunningRelay]
 
-RANDOM_QUERY_FRACTION = 0.02  # part of the relays that are asked at each look for a key at random
-FLUSH_INTERVAL_S = 2.0  # s after which ownership that goes on is written: a host may be killed at any time
+RANDOM_QUERY_FRACTION = 0.02  # of the relays: each of these is asked about a random key per observation
+FLUSH_INTERVAL_S = 2.0  # ownership that lasts is written so often, as a host may be killed at any time
 
 
 class ServiceRecorder:
-    """When relays come into service, and when they are without a lease from then on."""
+    """Records when relays come into service, and when they hold no lease after that."""
 
     def __init__(self, write: Write) -> None:
         self._write = write
-        self._last_acting: dict[RelayKey, float] = {}  # when each relay in service was last seen with a lease
+        self._last_acting: dict[RelayKey, float] = {}  # last time that each relay in service held a lease
 
     def observe(self, now: float, relays: Relays) -> None:
-        """Note those that have come into service, and gaps that are over."""
+        """Record relays that have come into service, and lease gaps that have ended."""
         for relay in relays:
             if not relay.may_act(now):
                 continue
@@ -48,14 +48,14 @@
             relay.without_lease = relay.in_service and self._last_acting[relay.key] < now
 
     def ended(self, now: float, relay: RunningRelay) -> None:
-        """A relay ends: a gap does, too."""
+        """Record the lease gap of a relay that ends, if it has one."""
         last = self._last_acting.pop(relay.key, now)
         if relay.without_lease:
             self._write(p.LeaseGap(last, now, relay.key))
 
 
 class RosterRecorder:
-    """What the host's relays know: the newest roster, and the oldest roster and counts."""
+    """Records the newest roster, the oldest roster and the oldest relay counts that the host's relays know."""
 
     def __init__(self, plan: p.HostPlan, write: Write) -> None:
         self._region, self._write = plan.region, write
@@ -66,7 +66,7 @@
         self._count_floors: dict[str, Version | None] = {}
 
     def observe(self, now: float, relays: Relays) -> None:
-        """Note a newer roster, and a newer oldest one."""
+        """Record changes of the newest and of the oldest roster that relays in service know."""
         rosters = [relay.roster for relay in relays if relay.in_service]
         known = [roster for roster in rosters if roster is not None]
         if not known:
@@ -88,7 +88,7 @@
         self._write(p.Members(now, self._region, roster.version, digest(roster), joined, gone))
 
     def observe_counts(self, now: float, relays: Relays) -> None:
-        """Note newer oldest counts of other regions."""
+        """Record changes of the oldest relay counts of other regions that relays in service know."""
         serving = [relay for relay in relays if relay.in_service]
         if not serving:
             return
@@ -99,7 +99,7 @@
                 self._write(p.CountFloor(now, region, floor))
 
     def audit(self, now: float, number: int, relays: Relays) -> None:
-        """Write where all relays stand."""
+        """Record which rosters and relay counts all relays know."""
         rosters: dict[tuple[Version | None, int], int] = defaultdict(int)
         counts: dict[tuple[str, Version | None, int], int] = defaultdict(int)
         for relay in relays:
@@ -127,7 +127,7 @@
 
 
 def digest(roster: Roster) -> int:
-    """Of the members, whatever their order."""
+    """Return a hash of the members that does not depend on their order."""
     names = sorted(f"{relay.name}\0{relay.instance}" for relay in roster.members.values())
     return xxhash.xxh3_64_intdigest("\n".join(names).encode())
 
@@ -139,14 +139,14 @@
 
 
 class OwnershipRecorder:
-    """Which relays say that they own a key."""
+    """Records the intervals in which relays claim keys."""
 
     def __init__(self, plan: p.HostPlan, write: Write, random: Random) -> None:
         self._keys, self._write, self._random = plan.keys, write, random
         self._open_intervals: dict[tuple[str, RelayKey], _OpenInterval] = {}
 
     def observe(self, now: Callable[[], float], relays: dict[str, RunningRelay]) -> None:
-        """Ask those that rank high for a key, and a few relays for one key at random."""
+        """Ask the highest-ranked relays of each key, and a few random relays about one random key each."""
         seen: set[tuple[str, RelayKey]] = set()
         for watch in self._keys:
             for name in watch.relays:
@@ -177,14 +177,14 @@
         self._write(p.Ownership(interval.begin, interval.end, key, relay))
 
     def finish(self) -> None:
-        """Write what goes on."""
+        """Record all ownership that still lasts."""
         for pair in self._open_intervals:
             self._flush(pair)
 
 
 @dataclass(frozen=True, slots=True)
 class _TrafficSample:
-    """What the counters of a connection were at a look."""
+    """The counts of a connection at an observation."""
 
     connection: object
     kernel: Counts
@@ -192,7 +192,7 @@
 
 
 class TrafficRecorder:
-    """Bytes of all relays between two looks, by the kernel's counts."""
+    """Records the bytes of all relays between two observations, by the kernel's counts."""
 
     def __init__(self, write: Write, now: float) -> None:
         self._write, self._observed_at = write, now
@@ -200,7 +200,7 @@
         self._kernel_wire = self._model_wire = 0
 
     def observe(self, now: float, relays: Relays) -> None:
-        """Note what was sent and received since the last look."""
+        """Record the bytes sent and received since the last observation."""
         seconds, self._observed_at = now - self._observed_at, now
         wire, peak, steady, joining, joining_wire = 0, 0, 0, 0, 0
         seen: dict[RelayKey, _TrafficSample] = {}
@@ -227,5 +227,5 @@
         return wire
 
     def finish(self, now: float) -> None:
-        """Write how the model of the headers compares with the kernel's counts."""
+        """Record the totals by the kernel's counts and by the model of the headers."""
         self._write(p.TrafficModel(now, self._kernel_wire, self._model_wire))
