--- a/benchmarks/fleet_scale/keys.py
+++ b/benchmarks/fleet_scale/keys.py
@@ -1,8 +1,9 @@
 """Keys whose owners are sampled, and the relays that are candidates to own them.
 
 Asking each of some thousand relays about each key many times a second would take more CPU time than the fleet
-itself. The owner of a key is the living relay that ranks first for it by rendezvous hashing, so each sample asks
-the highest-ranked relays, plus a few random relays about a random key to find owners that the ranking rules out.
+itself. The owner of a key is the living relay that ranks first for it by rendezvous hashing. So each sample
+asks the highest-ranked relays, and a few random relays about a random key to find owners that the ranking
+rules out.
 """
 
 from __future__ import annotations
