--- a/benchmarks/fleet_scale/protocol.py
+++ b/benchmarks/fleet_scale/protocol.py
@@ -1,7 +1,7 @@
 """Commands to a host of stub relays, and the records that it writes, as lines of JSON.
 
-Times are seconds of CLOCK_BOOTTIME, which is the same clock for all processes of a machine. Names of fields and
-tags are the keys and types in the JSON.
+Times are seconds of CLOCK_BOOTTIME, which is the same clock for all processes of a machine. Names of fields
+are keys in the JSON, tags its types.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from violetdoor.control.messages import RelayKey, Version
 
-# closed: the process dies and its connection closes; silent: its machine dies without notice; left: orderly end
+# closed: the process dies and its connection closes; silent: its machine dies, without notice; left: in order
 Ending = Literal["closed", "silent", "left"]
 
 
@@ -129,7 +129,7 @@
 
 
 class CountFloor(Struct, frozen=True, tag="counts"):
-    """The oldest version of another region's relay count that a relay in service knows; None if one knows none."""
+    """The oldest relay count of another region that a relay in service knows; None if one knows none."""
 
     at: float
     region: str
@@ -188,7 +188,7 @@
 
 
 class TrafficModel(Struct, frozen=True, tag="model"):
-    """Bytes of all connections: by the kernel's counts, and estimated from payload and a model of the headers."""
+    """Bytes of all connections: by the kernel's counts, and by the payload with a model of the headers."""
 
     at: float
     kernel_wire: int
@@ -196,7 +196,7 @@
 
 
 class VersionTally(Struct, frozen=True):
-    """How many relays of a host know this version of a region's roster, or of another region's relay count."""
+    """How many relays of a host know this version of their region's roster or of another's relay count."""
 
     region: str
     version: Version | None  # None if they know none
