--- a/benchmarks/fleet_scale/links.py
+++ b/benchmarks/fleet_scale/links.py
@@ -1,7 +1,7 @@
 """TCP proxies between regions, run by the harness so that a region can be cut off.
 
-A cut link still accepts connections but forwards nothing and closes nothing, as when a route is lost. Pending data
-is forwarded after the link heals, as TCP would do by retransmission.
+A cut link still accepts connections but forwards nothing and closes nothing, as when a route is lost. Pending
+data is forwarded after the link heals, as TCP would do by retransmission.
 """
 
 from __future__ import annotations
