--- a/benchmarks/fleet_scale/host.py
+++ b/benchmarks/fleet_scale/host.py
@@ -1,7 +1,7 @@
 """A process that hosts many stub relays: `python -m benchmarks.fleet_scale.host PLAN`.
 
-It reads commands from stdin and writes records to stdout (`protocol`). It exits on the command to stop, or at the
-end of stdin.
+It reads commands from stdin and writes records to stdout (`protocol`). It exits on the command to stop, or at
+the end of stdin.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
                 self.stop()
 
     def begin(self, over: float) -> None:
-        """Schedule the start of all relays at random times within `over` seconds, and start observing them."""
+        """Schedule the starts of all relays at random times within `over` seconds, and begin to observe."""
         for name in self.relay_plans:
             self.loop.call_later(self.random.uniform(0.0, over), self.start, name)
         self._repeat(OBSERVE_INTERVAL_S, lambda now: self.service.observe(now, self.relays))
