--- a/benchmarks/fleet_scale/processes.py
+++ b/benchmarks/fleet_scale/processes.py
@@ -94,7 +94,7 @@
 
 
 class Processes:
-    """All child processes of a run. Leaving the context kills those that still run, also after an exception."""
+    """All child processes of a run. Leaving the context kills those that still run, even on an exception."""
 
     def __init__(self) -> None:
         self.all: list[Process] = []
