--- a/benchmarks/fleet_scale/run.py
+++ b/benchmarks/fleet_scale/run.py
@@ -1,4 +1,4 @@
-"""One run: lay out and start the fleet, run the timeline, end all processes, and compare figures with bounds."""
+"""One run: lay out and start the fleet, run the timeline, end all processes, compare figures with bounds."""
 
 from __future__ import annotations
 
