--- a/benchmarks/fleet_scale/traffic.py
+++ b/benchmarks/fleet_scale/traffic.py
@@ -4,8 +4,8 @@
 segment holds up to 64 KiB, so the number of segments is raised to what Ethernet would need for the payload.
 
 By a model: the payload that the connection's code has written and read, one header for each segment that its
-writes and the received frames need, and one acknowledgement for each received segment. The model is only compared
-with the kernel's counts, from which the figures are computed.
+writes and the received frames need, and one acknowledgement for each received segment. The model is only
+compared with the kernel's counts, from which the figures are computed.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 def model_wire(payload: Counts) -> int:
     """Estimate the bytes with headers from the payload and the number of writes and received frames.
 
-    Segments that a relay sends are acknowledged by the data that is sent back, without a segment of their own.
+    Segments that a relay sends are acknowledged by the data that is sent back, without an extra segment.
     Segments that it receives are not answered at once, so each takes a separate acknowledgement.
     """
     sent = max(payload.segments_out, -(-payload.bytes_out // SEGMENT_PAYLOAD_BYTES))
