--- a/benchmarks/fleet_scale/hollow.py
+++ b/benchmarks/fleet_scale/hollow.py
@@ -1,4 +1,4 @@
-"""A stub relay: the control plane client of a relay with its real connection code, and no other part of one."""
+"""A stub relay: the control plane client of a relay with its real connection code, and no other part."""
 
 from __future__ import annotations
 
