--- a/benchmarks/fleet_scale/fleet.py
+++ b/benchmarks/fleet_scale/fleet.py
@@ -54,7 +54,7 @@
     # Starting.
 
     async def start_controls(self) -> None:
-        """Start all control machines, and wait until each passes its health check, so that it can grant leases."""
+        """Start all control machines, and wait for their health checks: from then on they grant leases."""
         configs.write_key(self.folder)
         machines = self.layout.machines
         await self._await_limited(self._start_control(machine) for machine in machines)
