--- a/benchmarks/fleet_scale/looks.py
+++ b/benchmarks/fleet_scale/looks.py
@@ -55,7 +55,7 @@
 
 
 class RosterRecorder:
-    """Records the newest roster, the oldest roster and the oldest relay counts that the host's relays know."""
+    """Records the newest roster, the oldest roster and the oldest relay counts known to the relays."""
 
     def __init__(self, plan: p.HostPlan, write: Write) -> None:
         self._region, self._write = plan.region, write
