--- a/benchmarks/fleet_scale/measures.py
+++ b/benchmarks/fleet_scale/measures.py
@@ -1,4 +1,4 @@
-"""Figures out of a history. Each function looks at one thing; none knows the bounds."""
+"""Figures computed from the history of a run. Bounds are applied elsewhere (`verdict`)."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 def p99(values: Iterable[float]) -> float:
-    """The 99th of a hundred; never, where there are none to judge by."""
+    """Return the 99th percentile, or NEVER without values."""
     ordered = sorted(values)
     return quantile(ordered, 0.99) if ordered else NEVER
 
 
-# Who knows of what, and when.
+# Detection of ended relays.
 
 
 @dataclass(frozen=True, slots=True)
 class DetectionDelays:
-    """Seconds from the end of a relay until all relays of its region, and all everywhere, knew."""
+    """Seconds from the end of a relay until all relays of its region, and all relays anywhere, knew of it."""
 
     relay: RelayKey
     how: p.Ending
@@ -35,7 +35,7 @@
 
 
 def removal_versions(history: History) -> dict[RelayKey, Version]:
-    """The first roster in which a relay is seen to be gone."""
+    """Return the version of the first roster without each relay that was removed."""
     found: dict[RelayKey, Version] = {}
     for change in history.members:
         for relay in change.gone:
@@ -45,7 +45,7 @@
 
 
 def time_reached(floors: Sequence[Floor], version: Version, after: float) -> float:
-    """When all relays of a host knew this version or a later one."""
+    """Return the time from `after` on when all relays of a host knew this version or a later one."""
     for floor in floors[bisect_left(floors, after, key=lambda one: one.at) :]:
         if floor.version is not None and floor.version >= version:
             return floor.at
@@ -55,7 +55,7 @@
 def detection_delays(
     history: History, ends: Iterable[p.RelayEnded], cut_off: frozenset[str]
 ) -> list[DetectionDelays]:
-    """For each end the seconds until it was known; regions that are cut off need not know of others."""
+    """Return the delay until each end was known; regions in `cut_off` need not know of ends elsewhere."""
     versions = removal_versions(history)
     region_of = {name: host.region for host in history.hosts.values() for name in host.names}
     found = []
@@ -80,7 +80,11 @@
     observers: str | None,
     cut_off: frozenset[str],
 ) -> float:
-    """When the last host knew this roster of a region: hosts of that region by their rosters, others by counts."""
+    """Return when the last host knew this roster version of a region.
+
+    Hosts of the region know it by their rosters, others by their relay counts. `observers` limits the hosts
+    to those of one region; without it, hosts of the regions in `cut_off` are left out.
+    """
     last = after
     for host in history.living_hosts(after):
         if host.region != observers and (observers is not None or host.region in cut_off):
@@ -88,13 +92,13 @@
         floors = host.rosters if host.region == region else host.counts[region]
         at = time_reached(floors, version, after)
         if at > host.ended_at:
-            continue  # it was ended itself before it could know
+            continue  # the host was ended before its relays could know
         last = max(last, at)
     return last
 
 
 def wrongful_removals(history: History, slack: float) -> list[RelayKey]:
-    """Relays that were taken out of a roster over `slack` seconds before they ended, or that never ended."""
+    """Return relays removed from a roster more than `slack` seconds before their end, or without an end."""
     first_gone: dict[RelayKey, float] = {}
     for change in history.members:
         for relay in change.gone:
@@ -112,7 +116,7 @@
 
 
 def service_times(history: History, window: Window) -> list[float]:
-    """Seconds from the start of each relay that was started in a window until it was in service."""
+    """Return the seconds that each relay started in a window took to come into service."""
     serving = {record.relay: record.at for record in history.in_service}
     return [
         serving.get(record.relay, NEVER) - record.at
@@ -122,7 +126,7 @@
 
 
 def _ended_soon(history: History, started: p.RelayStarted) -> bool:
-    """Whether the run ended a relay before it could be in service."""
+    """Return whether the harness ended a relay before it could come into service."""
     end = history.ended.get(started.relay)
     return end is not None and end.at - started.at < 1.0
 
@@ -131,7 +135,7 @@
 
 
 def lease_gaps(history: History, window: Window, regions: frozenset[str] | None = None) -> list[p.LeaseGap]:
-    """Gaps that lie in part in a window, of relays of some regions or of all."""
+    """Return lease gaps that overlap a window, of relays in `regions` or in all regions."""
     region_of = {name: host.region for host in history.hosts.values() for name in host.names}
     return [
         gap
@@ -143,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TwoOwners:
-    """Two relays that said at the same time that they own a key."""
+    """Two relays that claimed the same key at the same time."""
 
     key: str
     one: RelayKey
@@ -152,7 +156,7 @@
 
 
 def keys_with_two_owners(ownerships: Iterable[p.Ownership]) -> list[TwoOwners]:
-    """Intervals of two relays that overlap. Ends are looks at which the relay still said so."""
+    """Return overlapping intervals of two relays. An interval ends at the last observation of the claim."""
     by_key: dict[str, list[p.Ownership]] = defaultdict(list)
     for one in ownerships:
         by_key[one.key].append(one)
@@ -172,24 +176,24 @@
 
 
 def keys_owned_at(ownerships: Iterable[p.Ownership], at: float) -> set[str]:
-    """The keys that some relay owns at a moment."""
+    """Return the keys that some relay owns at a time."""
     return {one.key for one in ownerships if one.begin <= at <= one.end}
 
 
-# What it costs.
+# Resource usage.
 
 
 @dataclass(frozen=True, slots=True)
 class RelayTraffic:
-    """Bytes on the wire of relays, both ways."""
+    """Bytes on the wire of relays, sent and received."""
 
-    mean: float  # bytes a second of a relay that was connected throughout
-    peak: float  # the most of one relay between two looks, bytes a second
-    join: float  # bytes of a start, with its roster
+    mean: float  # bytes per second of a relay that kept its connection
+    peak: float  # bytes per second of the busiest relay between two observations
+    join: float  # bytes of a new connection up to its first observation, with the roster
 
 
 def relay_traffic(history: History, window: Window, regions: frozenset[str] | None = None) -> RelayTraffic:
-    """Traffic of the relays of some regions, or of all, in a window."""
+    """Return the traffic in a window of relays in `regions` or in all regions."""
     records = [
         record
         for host in history.hosts.values()
@@ -207,7 +211,7 @@
 
 
 def model_error(history: History) -> float:
-    """By which part the model of the headers differs from what the kernel has counted."""
+    """Return the relative error of the model of the headers against the kernel's counts."""
     kernel = model = 0
     for host in history.hosts.values():
         if host.models:
@@ -218,15 +222,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StubCost:
-    """What a hollow relay takes: its share of its host."""
+    """Resource usage of a stub relay, as its share of its host's."""
 
-    cpu: float  # part of a core, without what the looks of the measurement take
-    cpu_max: float  # of the host whose relays take most
+    cpu: float  # cores per relay, without the CPU time of the observation
+    cpu_max: float  # cores per relay, on the host whose relays use most
     rss_mib: float
 
 
 def stub_cost(history: History, window: Window) -> StubCost:
-    """Processor and memory of a hollow relay in a window."""
+    """Return the CPU and memory usage of a stub relay in a window."""
     used, relay_seconds, rss, relays, most = 0.0, 0.0, 0.0, 0, 0.0
     for host in history.hosts.values():
         costs = [cost for cost in host.costs if cost.at in window]
@@ -245,15 +249,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessCost:
-    """What the processes of one kind take."""
+    """Resource usage of the processes of one kind."""
 
-    cpu_mean: float  # part of a core
-    cpu_max: float  # of one process over the window
-    rss_max_mib: float
+    cpu_mean: float  # cores
+    cpu_max: float  # cores, mean over the window of the busiest process
+    rss_max_mib: float  # highest peak of a process
 
 
 def process_cost(history: History, names: Iterable[str], window: Window) -> ProcessCost:
-    """Processor and memory of processes in a window."""
+    """Return the CPU and memory usage of processes in a window."""
     rates, rss = [], 0.0
     for name in names:
         samples = [sample for sample in history.usage[name] if sample.at in window]
@@ -271,21 +275,22 @@
     return (last.usage.cpu - first.usage.cpu) / (last.at - first.at)
 
 
-# One roster.
+# Agreement on rosters.
 
 
 @dataclass(frozen=True, slots=True)
 class Agreement:
-    """Where all relays stand at an audit."""
+    """Which rosters and relay counts all relays knew at an audit."""
 
-    relays: int
+    relays: int  # that were audited
     rosters: dict[str, set[tuple[Version | None, int]]]  # by region: versions and digests
-    counts: dict[str, set[tuple[Version | None, int]]]  # of a region, as relays of others have them
-    last_at: float
+    # By region: versions and numbers of living relays that relays of other regions know.
+    counts: dict[str, set[tuple[Version | None, int]]]
+    last_at: float  # time of the last host's answer
 
     @property
     def disagreeing_regions(self) -> int:
-        """Regions of which not all relays know the same."""
+        """The number of regions about which relays know different rosters or counts."""
         return sum(
             1
             for region, known in self.rosters.items()
@@ -295,7 +300,7 @@
 
 
 def agreement(history: History, number: int) -> Agreement:
-    """What the hosts have answered to an audit."""
+    """Combine the hosts' answers to an audit."""
     rosters: dict[str, set[tuple[Version | None, int]]] = defaultdict(set)
     counts: dict[str, set[tuple[Version | None, int]]] = defaultdict(set)
     relays, last_at = 0, 0.0
@@ -310,7 +315,7 @@
 
 
 def conflicting_roster_versions(history: History) -> list[Version]:
-    """Versions under which two hosts have seen two different rosters."""
+    """Return roster versions under which hosts have seen different rosters."""
     digests: dict[tuple[str, Version], set[int]] = defaultdict(set)
     for change in history.members:
         digests[change.region, change.version].add(change.digest)
@@ -318,5 +323,5 @@
 
 
 def hosts_of(history: History, region: str) -> list[HostHistory]:
-    """The hosts of one region."""
+    """Return the hosts of a region."""
     return [host for host in history.hosts.values() if host.region == region]
