--- a/benchmarks/fleet_scale/verdict.py
+++ b/benchmarks/fleet_scale/verdict.py
@@ -1,4 +1,4 @@
-"""Sets the figures of a run beside their bounds."""
+"""Compares the figures of a run with their bounds."""
 
 from __future__ import annotations
 
@@ -21,28 +21,25 @@
 from benchmarks.fleet_scale.virtual import LOSS, VirtualFigures
 from violetdoor.control.messages import RelayKey
 
-RELAY_BYTES_PER_S, RELAY_CPU_CORES, RELAY_MEMORY_MIB = (
-    6000.0,
-    0.049,
-    128.0,
-)  # bytes a second, part of a core, MiB
-AIM_FRACTION = 0.25  # of these, to be aimed at
-MAX_GROWTH = 0.15  # from the small fleet to the large one
-HEALED_PEAK_FACTOR = 5.0  # the budget of bytes, after a healing
-DEATH_IN_REGION_S, DEATH_EVERYWHERE_S = 5.0, 17.0  # s, p99
-LEFT_IN_REGION_S, LEFT_EVERYWHERE_S = 1.0, 5.0
-MANY_IN_REGION_S = 10.0
-IN_SERVICE_S = 3.0
-AGREED_WITHIN_S = 10.0
-GAP_AFTER_TWO_S = 6.0
+# Budgets of one relay.
+RELAY_BYTES_PER_S, RELAY_CPU_CORES, RELAY_MEMORY_MIB = 6000.0, 0.049, 128.0
+AIM_FRACTION = 0.25  # desired part of the budgets of a relay
+MAX_GROWTH = 0.15  # relative growth of a relay's usage from the small fleet to the large one
+HEALED_PEAK_FACTOR = 5.0  # times RELAY_BYTES_PER_S: the limit for one relay after the healing
+DEATH_IN_REGION_S, DEATH_EVERYWHERE_S = 5.0, 17.0  # p99 of the detection of a death
+LEFT_IN_REGION_S, LEFT_EVERYWHERE_S = 1.0, 5.0  # p99 of the detection of an orderly end
+MANY_IN_REGION_S = 10.0  # until the last of many deaths is known in its region
+IN_SERVICE_S = 3.0  # p99 from the start of a relay until it is in service
+AGREED_WITHIN_S = 10.0  # from the healing until all relays know the same rosters
+GAP_AFTER_TWO_S = 6.0  # longest time without a lease after the death of two control machines of a group
 CONTROL_CPU_CORES, CONTROL_MEMORY_MIB = 1.0, 512.0
-RECORD_LAG_S = 0.5  # s by which a record's time may be later than what it tells of
-MAX_MODEL_ERROR = 0.25  # of the headers' model against the kernel's counts
+RECORD_LAG_S = 0.5  # most by which the time of a record may lag behind its event
+MAX_MODEL_ERROR = 0.25  # relative error of the model of the headers against the kernel's counts
 
 
 @dataclass(frozen=True, slots=True)
 class RestFigures:
-    """What a relay takes while nothing happens, at one size of the fleet."""
+    """Resource usage of a relay at rest, for one size of the fleet."""
 
     relays: int
     bytes_per_second: float
@@ -51,7 +48,7 @@
 
 
 def rest_figures(fleet: Fleet) -> RestFigures:
-    """Of a fleet that had a phase of rest."""
+    """Return the figures of a fleet from its phase of rest."""
     history, rest = fleet.history, fleet.history.windows["rest"]
     return RestFigures(
         fleet.layout.size.relays,
@@ -62,7 +59,7 @@
 
 
 def virtual_bounds(figures: VirtualFigures) -> list[Bound]:
-    """What was played in virtual time."""
+    """Return the bounds of the scenarios in virtual time."""
     loss, cut = figures.loss, figures.cut
     hour = f"{loss.seconds / 60:.0f} min of {LOSS:.0%} loss, virtual"
     cut_for = f"a cut of {cut.seconds / 60:.0f} min, virtual"
@@ -81,13 +78,13 @@
 
 
 class Verdict:
-    """All bounds of one run."""
+    """All bounds of a run in real time."""
 
     def __init__(self, fleet: Fleet, result: TimelineResult, small: RestFigures | None) -> None:
         self.fleet, self.history, self.result, self.small = fleet, fleet.history, result, small
 
     def bounds(self) -> list[Bound]:
-        """Each figure with its bound, in the order of the table."""
+        """Return all bounds in the order of the table."""
         return [
             *self._relay_cost(),
             *self._growth(),
@@ -100,7 +97,7 @@
             *self._control_cost(),
         ]
 
-    # A relay.
+    # Cost of a relay.
 
     def _relay_cost(self) -> Iterable[Bound]:
         history = self.history
@@ -160,7 +157,7 @@
             large.real.rss_max_mib / self.small.real.rss_max_mib - 1.0,
         )  # fmt: skip
 
-    # Ends.
+    # Detection of ended relays.
 
     def _single_ends(self) -> Iterable[Bound]:
         singles = frozenset(self.result.single_ends)
@@ -189,7 +186,7 @@
         title = f"{what} of {len(relays)} gone at once, known in its region, the last one"
         return Bound(title, SECONDS, MANY_IN_REGION_S, max(delays, default=m.NEVER), len(delays))
 
-    # Starts.
+    # Restarts.
 
     def _restarts(self) -> Iterable[Bound]:
         churn = self.history.windows["churn"]
@@ -234,7 +231,7 @@
         )
         yield Bound("memory of a control machine, the most", MEBIBYTES, CONTROL_MEMORY_MIB, rss, len(names))
 
-    # A cut.
+    # Cut region.
 
     def _cut(self) -> Iterable[Bound]:
         agreement = self.result.agreement
@@ -259,13 +256,14 @@
             healed.peak, len(history.hosts),
         )  # fmt: skip
 
-    # What must hold throughout.
+    # Invariants of the whole run.
 
     def _always(self) -> Iterable[Bound]:
         history = self.history
         two = m.keys_with_two_owners(history.ownerships)
         yield Bound("keys with two owners, in the whole run", COUNT, 0, len(two), len(history.ownerships))
-        at = history.windows["rest"].end - RECORD_LAG_S  # the first restart comes right at the end
+        # The first restart follows the end of the rest at once.
+        at = history.windows["rest"].end - RECORD_LAG_S
         stub_names = {name for host in history.hosts.values() for name in host.names}
         wanted = {key for key in self.fleet.keys.keys if self.fleet.keys.preferred_owner(key) in stub_names}
         missing = wanted - m.keys_owned_at(history.ownerships, at)
@@ -296,5 +294,5 @@
 
 
 def _ordinary_day(rest: float, busy: float) -> float:
-    """A day of restarts at their own pace, from rest and a time in which they came so many times as fast."""
+    """Return the figure of an ordinary day, from rest and a time with RESTART_SPEEDUP times its restarts."""
     return rest + max(0.0, busy - rest) / RESTART_SPEEDUP
