--- a/benchmarks/fleet_scale/virtual.py
+++ b/benchmarks/fleet_scale/virtual.py
@@ -1,6 +1,7 @@
-"""What takes an hour, in virtual time: wrongful removals under loss, and a region that is cut off for an hour.
+"""Hour-long scenarios in virtual time: wrongful removals under packet loss, and a region cut off for an hour.
 
-The decisions are those of the program; links, clocks and processes are `violetdoor.faults.control_world`'s.
+Control machines and relays run violetdoor's decision code; `violetdoor.faults.control_world` simulates links,
+clocks and processes.
 """
 
 from __future__ import annotations
@@ -15,45 +16,46 @@
 from violetdoor.control.roster import home_region, relay_key
 from violetdoor.faults.control_world import ControlWorld, Relay
 
-HOUR = 3600.0  # s
-SLICES = 8  # parts of the hour under loss, played side by side
-LOSS = 0.01
-REGIONS, MACHINES = 3, 3  # control machines of each region
-RELAYS_UNDER_LOSS, RELAYS_IN_CUT = 20, 8  # of each region: the cut is one run, and can't be played in parts
-KILLED_PER_REGION = 3  # relays of each region that die during the cut
+HOUR_S = 3600.0
+SLICES = 8  # parts of the hour under loss, which run in parallel
+LOSS = 0.01  # of all segments and datagrams
+REGIONS, MACHINES = 3, 3  # control machines per region
+# Per region; fewer in the cut, which can't be split into parallel parts.
+RELAYS_UNDER_LOSS, RELAYS_IN_CUT = 20, 8
+KILLED_PER_REGION = 3  # per region, during the cut
 KEYS = tuple(f"key-{n}" for n in range(30))
-START_TIMEOUT_S = 60.0  # s until all relays of a world are in service
-SETTLE_S = 10.0  # s after that, for the first rosters to settle
-OBSERVE_INTERVAL_S = 1.0  # s
-AGREE_TIMEOUT_S = 60.0  # s after the healing, before it is called never
+START_TIMEOUT_S = 60.0  # until all relays of a world are in service
+SETTLE_S = 10.0  # after that, for the first rosters to settle
+OBSERVE_INTERVAL_S = 1.0
+AGREE_TIMEOUT_S = 60.0  # from the healing; without agreement by then the figure is NEVER
 
 
 class WorldStartError(Exception):
-    """A virtual fleet did not come up."""
+    """The relays of a simulated fleet did not come into service in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class LossFigures:
-    """Some time under loss."""
+    """Figures of a time with packet loss."""
 
     seconds: float
-    removed: int  # members of a roster that were taken out, though all lived
-    lost_leases: int
+    removed: int  # living members that were removed from a roster
+    lost_leases: int  # relays that were seen without a lease
 
 
 @dataclass(frozen=True, slots=True)
 class CutFigures:
-    """A region cut off for long."""
+    """Figures of a region that was cut off and connected again."""
 
     seconds: float
-    agreed_after: float  # s from the healing until all relays know one roster of each region
-    two_owners: int
-    ownerships: int  # intervals of ownership that were looked at
-    lost_leases: int
+    agreed_after: float  # seconds from the healing until all relays know the same roster of each region
+    two_owners: int  # overlaps of two relays' ownership of a key
+    ownerships: int  # intervals of ownership that were compared
+    lost_leases: int  # relays that were seen without a lease
 
 
 def build(seed: int, relays: int) -> ControlWorld:
-    """A fleet in which all relays are in service."""
+    """Build a fleet, and run it until all relays are in service."""
     world = ControlWorld(seed)
     regions = [f"region-{n}" for n in range(REGIONS)]
     for region in regions:
@@ -64,7 +66,7 @@
         for number in range(relays):
             world.start_relay(f"{region}-relay-{number:02d}", region, f"{region}-zone-{number % 2}")
     if world.until(lambda: all(_in_service(world, region) for region in regions), START_TIMEOUT_S) is None:
-        raise WorldStartError(f"not all virtual relays are in service within {START_TIMEOUT_S:g} s")
+        raise WorldStartError(f"not all simulated relays came into service within {START_TIMEOUT_S:g} s")
     world.run(SETTLE_S)
     return world
 
@@ -87,7 +89,7 @@
 
 
 def under_loss(seed: int, seconds: float) -> LossFigures:
-    """Every hundredth segment and datagram is lost, and nobody dies."""
+    """Run a fleet in which 1 % of segments and datagrams are lost and no process dies."""
     world = build(seed, RELAYS_UNDER_LOSS)
     world.default.loss = LOSS
     begun, removed, lost = world.now, 0, set[str]()
@@ -105,7 +107,7 @@
 
 
 def cut_off(seed: int, seconds: float) -> CutFigures:
-    """A region's control machines are cut off from all others' for so long, then connected again."""
+    """Cut a region's control machines off from those of all others for `seconds`, then heal the links."""
     world = build(seed, RELAYS_IN_CUT)
     regions = sorted(world.groups)
     cut, others = world.groups[regions[-1]], [m for r in regions[:-1] for m in world.groups[r]]
@@ -118,7 +120,7 @@
         owners.observe()
         lost |= _without_lease(world)
         if victims and world.now - begun > seconds / 2:
-            world.kill_relay(victims.pop())  # so that the rosters go on, on both sides
+            world.kill_relay(victims.pop())  # so that rosters change on both sides of the cut
     cut_for = world.now - begun
     world.heal()
     agreed_after = world.until(lambda: _one_roster(world, regions), AGREE_TIMEOUT_S)
@@ -148,7 +150,7 @@
 
 
 class _Owners:
-    """Which relays say that they own a key, as intervals between looks."""
+    """Intervals in which relays claimed a key, from one observation to a later one."""
 
     def __init__(self, world: ControlWorld) -> None:
         self.world = world
@@ -160,7 +162,7 @@
         }
 
     def observe(self) -> None:
-        """Ask all relays for all keys of their region."""
+        """Ask each relay about all keys of its region."""
         still_owned = {}
         for relay in self.world.running():
             attachment = relay.attachment
@@ -176,17 +178,17 @@
 
 @dataclass(frozen=True, slots=True)
 class VirtualFigures:
-    """Both hours."""
+    """Figures of both scenarios."""
 
     loss: LossFigures
     cut: CutFigures
 
 
 def run_both(seed: int) -> VirtualFigures:
-    """Both, side by side in processes."""
+    """Run both scenarios in parallel processes."""
     with ProcessPoolExecutor(max(1, (os.cpu_count() or 2) - 1)) as pool:
-        cut = pool.submit(cut_off, seed, HOUR)
-        parts = [HOUR / SLICES] * SLICES
+        cut = pool.submit(cut_off, seed, HOUR_S)
+        parts = [HOUR_S / SLICES] * SLICES
         slices = list(pool.map(under_loss, range(seed, seed + SLICES), parts))
         loss = LossFigures(
             sum(one.seconds for one in slices),
