--- a/benchmarks/fleet_scale/timeline.py
+++ b/benchmarks/fleet_scale/timeline.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger("fleet_scale")
 
-RESTARTS_PER_DAY = 3900  # in a fleet of REFERENCE_RELAYS
+RESTARTS_PER_DAY = 3900  # in a fleet of 5,600 relays (REFERENCE_RELAYS)
 DAY_S = 86_400.0
 RESTART_SPEEDUP = 100.0  # restarts come so many times as often as on an ordinary day
 REFERENCE_RELAYS = 5600
@@ -200,7 +200,7 @@
         self._step(f"{self.cut_region} was cut off from all others for {self.schedule.cut:g} s.")
 
     async def kill_controls(self) -> None:
-        """Kill a control machine of another region during the cut, and a second one in a group of five or more."""
+        """Kill a control machine of another region during the cut, and a second one in a group of five."""
         group = self.fleet.layout.group(self.control_kill_region)
         self.result.killed_region = self.control_kill_region
         self.result.first_kill = await self._kill_control(group[0], self.schedule.second_kill)
