--- a/tests/test_fleet_scale.py
+++ b/tests/test_fleet_scale.py
@@ -1,9 +1,8 @@
-"""The harness of a large fleet: its measures by histories made by hand, its sockets, and a quick run.
+"""Tests of the large fleet benchmark: measures of histories written by hand, links and processes, a quick run.
 
-The quick run here has 200 relays in place of 700, as other tests run beside it. What counts events must be just
-as it is bounded: no lease lost, no key with two owners, nobody taken out wrongly, one roster. Times depend on
-what the machine has to spare, so they may be three times their bounds; the command itself allows no more than
-the bounds.
+The quick run has 200 relays in place of 700, as other tests run in parallel. Counts of events must meet their
+bounds: no lost lease, no key with two owners, no wrongful removal, one roster. Times depend on the load of the
+machine and may be up to three times their bounds; the command itself enforces the bounds.
 """
 
 from __future__ import annotations
@@ -60,7 +59,7 @@
     (known,) = measures.detection_delays(made, made.ended.values(), frozenset())
     assert (known.region, known.everywhere) == (3.0, 5.0)
     (known,) = measures.detection_delays(made, made.ended.values(), frozenset({"b"}))
-    assert known.everywhere == 3.0  # a region that is cut off need not know
+    assert known.everywhere == 3.0  # a region that is cut off is not counted
 
 
 def test_an_end_that_one_host_never_hears_of_is_never_known() -> None:
@@ -68,7 +67,7 @@
     made.hosts["a1"].rosters.pop()
     (known,) = measures.detection_delays(made, made.ended.values(), frozenset())
     assert known.region == known.everywhere == measures.NEVER
-    made.hosts["a1"].ended_at = 11.0  # unless that host was ended itself
+    made.hosts["a1"].ended_at = 11.0  # a host that has been ended is not counted
     (known,) = measures.detection_delays(made, made.ended.values(), frozenset())
     assert known.region == 2.0
     made.members.clear()
@@ -76,12 +75,12 @@
     assert known.region == measures.NEVER
 
 
-def test_a_relay_that_is_taken_out_alive_is_found() -> None:
+def test_the_removal_of_a_living_relay_is_found() -> None:
     made = history()
     assert measures.wrongful_removals(made, 0.5) == []
     made.members.append(p.Members(13.0, "a", LATER, 7, (), (OTHER,)))
     assert measures.wrongful_removals(made, 0.5) == [OTHER]
-    made.add_end(p.RelayEnded(14.0, OTHER, "closed"))  # it ended after it was taken out
+    made.add_end(p.RelayEnded(14.0, OTHER, "closed"))  # an end after the removal is no excuse
     assert measures.wrongful_removals(made, 0.5) == [OTHER]
 
 
@@ -91,7 +90,7 @@
         ([(0.0, 5.0, ONE), (5.5, 9.0, OTHER)], 0),
         ([(0.0, 5.0, ONE), (5.0, 9.0, ONE)], 0),
         ([(0.0, 5.0, ONE), (4.5, 9.0, OTHER)], 1),
-        ([(0.0, 9.0, ONE), (1.0, 1.0, OTHER)], 1),  # one look within the other's time
+        ([(0.0, 9.0, ONE), (1.0, 1.0, OTHER)], 1),  # a single observation within the other's interval
         ([(0.0, 9.0, ONE), (1.0, 2.0, ONE), (8.0, 8.5, OTHER)], 1),
     ],
 )
@@ -110,14 +109,14 @@
     assert not measures.lease_gaps(made, Window(4.0, 9.0), frozenset({"b"}))
 
 
-def test_a_restart_that_never_comes_into_service_is_never_in() -> None:
+def test_a_restarted_relay_that_never_comes_into_service_counts_as_never() -> None:
     made = history()
     made.started = [p.RelayStarted(1.0, ONE), p.RelayStarted(2.0, OTHER)]
     made.in_service = [p.RelayInService(1.5, ONE)]
     assert measures.service_times(made, Window(0.0, 5.0)) == [0.5, measures.NEVER]
 
 
-def test_relays_that_stand_apart_are_found_by_version_and_by_members() -> None:
+def test_disagreeing_relays_are_found_by_version_and_by_members() -> None:
     def audited(*rosters: p.VersionTally, counted: Version = AFTER) -> int:
         made = history()
         made.hosts["a0"].audits.append(p.Audit(1.0, 1, rosters, ()))
@@ -131,7 +130,7 @@
     assert audited(here, counted=BEFORE) == 1
 
 
-def test_a_bound_that_is_missed_or_was_not_measured_breaks_the_run() -> None:
+def test_a_bound_that_is_missed_or_was_not_measured_fails_the_run() -> None:
     met, missed = Bound("kept", SECONDS, 5.0, 5.0), Bound("missed", SECONDS, 5.0, 7.25)
     empty = Bound("empty", COUNT, 0, 0, samples=0)
     assert missed_bounds([met, missed, empty]) == [missed, empty]
@@ -144,7 +143,7 @@
 
 
 class FakeRelay:
-    """A relay as the looks see it."""
+    """A relay with the attributes that recorders read."""
 
     def __init__(self, key: RelayKey) -> None:
         self.key = key
@@ -164,13 +163,13 @@
     return made, cast("list[RunningRelay]", made)
 
 
-def test_a_relay_is_in_service_once_it_is_in_its_roster_and_each_gap_of_its_lease_is_noted() -> None:
+def test_a_relay_is_in_service_once_listed_in_its_roster_and_each_lease_gap_is_recorded() -> None:
     written: list[p.Record] = []
     (one,), relays = fake_relays(ONE)
     recorder = ServiceRecorder(written.append)
     one.in_own_roster = False
     recorder.observe(1.0, relays)
-    assert not written  # a lease alone is not enough
+    assert not written  # a lease without a place in the roster is not enough
     one.in_own_roster = True
     recorder.observe(2.0, relays)
     one.acting = False
@@ -190,7 +189,7 @@
     return p.HostPlan("host", "a", ("a", "b"), (), "", (), watch, 1)
 
 
-def test_ownership_is_written_in_parts_that_meet_and_ends_at_the_last_look_that_saw_it() -> None:
+def test_ownership_is_recorded_in_adjoining_parts_and_ends_at_its_last_observation() -> None:
     written: list[p.Record] = []
     (one,), relays = fake_relays(ONE)
     recorder = OwnershipRecorder(host_plan(), written.append, Random(1))
@@ -201,7 +200,7 @@
     assert written == [p.Ownership(0.0, 3.0, "key", ONE), p.Ownership(3.0, 4.0, "key", ONE)]
 
 
-def test_what_a_host_knows_is_what_its_last_relay_knows() -> None:
+def test_the_roster_floor_of_a_host_is_the_oldest_roster_of_its_relays() -> None:
     written: list[p.Record] = []
     (one, other), relays = fake_relays(ONE, OTHER)
     one.in_service = other.in_service = True
@@ -210,7 +209,7 @@
     one.roster = Roster(AFTER, [Relay("other", 2, "host", 1)])
     recorder.observe(2.0, relays)
     floors = [r for r in written if isinstance(r, p.RosterFloor)]
-    assert [floor.version for floor in floors] == [BEFORE]  # one relay still has the roster before
+    assert [floor.version for floor in floors] == [BEFORE]  # the other relay still has the older roster
     (change,) = [r for r in written if isinstance(r, p.Members) and r.version == AFTER]
     assert change.gone == (ONE,)
     assert change.joined == (OTHER,)
@@ -226,7 +225,7 @@
     made.close()
 
 
-def test_the_full_fleet_is_laid_out_as_its_numbers_say(network: Network) -> None:
+def test_the_layout_of_the_full_fleet_matches_its_size(network: Network) -> None:
     layout = build_layout(Size(5600, 46, 10, 24), network, 20)
     relays = [len(z.stubs) + len(z.rack) + len(z.real) for z in layout.zones]
     assert (sum(relays), min(relays), max(relays)) == (5600, 233, 234)
@@ -242,7 +241,7 @@
         Size(5600, 20, 10, 24).check()
 
 
-def test_a_cut_link_is_silent_and_brings_what_waited_once_it_is_healed(network: Network) -> None:
+def test_a_cut_link_holds_data_back_and_forwards_it_after_healing(network: Network) -> None:
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(100):
             writer.write(data)
@@ -283,11 +282,11 @@
     assert (counts.bytes_out, counts.bytes_in) == (300, 5000)
     assert counts.segments_out >= 1
     assert counts.segments_in >= 1
-    # 5,000 bytes take four segments on Ethernet, though one or two here
+    # 5,000 bytes take four segments on Ethernet, but one or two on loopback.
     assert counts.wire >= 5300 + 52 * (1 + 4)
 
 
-def test_processes_are_ended_whatever_happens_and_a_death_is_told(tmp_path: Path) -> None:
+def test_processes_are_killed_on_an_exception_and_an_unexpected_end_is_reported(tmp_path: Path) -> None:
     async def scenario() -> None:
         with pytest.raises(RuntimeError, match="in the middle"):
             async with Processes() as processes:
@@ -318,11 +317,11 @@
     assert cut.ownerships > 30
 
 
-TIME_TOLERANCE = 3.0  # times a bound in seconds, beside other tests
+TIME_TOLERANCE = 3.0  # factor on bounds in seconds, as other tests run in parallel
 SMALL_RUN_ARGUMENTS = ["--quick", "--relays", "200"]
 
 
-def test_a_quick_run_with_all_its_faults_keeps_what_is_promised() -> None:
+def test_a_quick_run_with_all_faults_meets_its_bounds() -> None:
     outcome = asyncio.run(run(command.request(command.parse(SMALL_RUN_ARGUMENTS))))
     assert not outcome.failures
     assert len(outcome.bounds) > 20
@@ -332,7 +331,7 @@
         assert bound.value <= allowed, f"{bound.title}: {bound.value}, limit {bound.limit}"
 
 
-def test_a_run_that_is_told_to_end_leaves_no_process_behind() -> None:
+def test_a_run_that_is_terminated_leaves_no_process_behind() -> None:
     async def scenario() -> None:
         run = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "benchmarks.fleet_scale", "--quick", "--relays", "60",
@@ -351,7 +350,7 @@
     asyncio.run(scenario())
 
 
-def test_numbers_that_make_no_fleet_are_status_2(
+def test_numbers_that_allow_no_fleet_exit_with_status_2(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr("sys.argv", ["fleet_scale", "--regions", "3", "--control", "5"])
