--- a/benchmarks/fleet_scale/__main__.py
+++ b/benchmarks/fleet_scale/__main__.py
@@ -77,12 +77,12 @@
     print(outcome.last_line())
 
 
-async def run_until_told(wanted: Request) -> Outcome:
+async def run_until_terminated(run_request: Request) -> Outcome:
     """Run the request. On SIGTERM, end all child processes before this process."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-    return await run(wanted)
+    return await run(run_request)
 
 
 def main() -> int:
@@ -90,13 +90,13 @@
     args = parse()
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(relativeCreated)7d ms %(message)s")
     try:
-        wanted = request(args)
+        run_request = request(args)
     except LayoutError as err:
         print(f"fleet_scale: {err}", file=sys.stderr)
         return 2
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            outcome = runner.run(run_until_told(wanted))
+            outcome = runner.run(run_until_terminated(run_request))
     except asyncio.CancelledError:
         print("fleet_scale: terminated by SIGTERM; all child processes have ended", file=sys.stderr)
         return 1
