--- a/benchmarks/fleet_scale/measures.py
+++ b/benchmarks/fleet_scale/measures.py
@@ -62,13 +62,14 @@
     for end in ends:
         region = region_of[end.relay.name]
         version = versions.get(end.relay)
-        within = elsewhere = NEVER
+        region_reached_at = all_reached_at = NEVER
         if version is not None:
-            within = _last_host_reached(history, end.at, version, region, region, cut_off)
-            elsewhere = max(
-                within, _last_host_reached(history, end.at, version, region, None, cut_off | {region})
+            region_reached_at = _last_host_reached(history, end.at, version, region, region, cut_off)
+            all_reached_at = max(
+                region_reached_at,
+                _last_host_reached(history, end.at, version, region, None, cut_off | {region}),
             )
-        found.append(DetectionDelays(end.relay, end.how, within - end.at, elsewhere - end.at))
+        found.append(DetectionDelays(end.relay, end.how, region_reached_at - end.at, all_reached_at - end.at))
     return found
 
 
@@ -231,20 +232,20 @@
 
 def stub_cost(history: History, window: Window) -> StubCost:
     """Return the CPU and memory usage of a stub relay in a window."""
-    used, relay_seconds, rss, relays, most = 0.0, 0.0, 0.0, 0, 0.0
+    used, relay_seconds, rss, relays, cpu_per_relay_max = 0.0, 0.0, 0.0, 0, 0.0
     for host in history.hosts.values():
         costs = [cost for cost in host.costs if cost.at in window]
         if len(costs) < 2 or not costs[-1].relays:
             continue
         first, last = costs[0], costs[-1]
-        of_host = last.cpu - first.cpu - (last.looking - first.looking)
+        relays_cpu = last.cpu - first.cpu - (last.looking - first.looking)
         seconds = (last.at - first.at) * last.relays
-        used, relay_seconds = used + of_host, relay_seconds + seconds
-        most = max(most, of_host / seconds)
+        used, relay_seconds = used + relays_cpu, relay_seconds + seconds
+        cpu_per_relay_max = max(cpu_per_relay_max, relays_cpu / seconds)
         rss, relays = rss + last.rss_kib / 1024, relays + last.relays
     if not relays:
         return StubCost(NEVER, NEVER, NEVER)
-    return StubCost(used / relay_seconds, most, rss / relays)
+    return StubCost(used / relay_seconds, cpu_per_relay_max, rss / relays)
 
 
 @dataclass(frozen=True, slots=True)
