--- a/benchmarks/fleet_scale/processes.py
+++ b/benchmarks/fleet_scale/processes.py
@@ -103,11 +103,11 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        for one in self.all:
-            if one.running:
-                one.kill()
-        await asyncio.gather(*(one.process.wait() for one in self.all))
-        readers = [task for one in self.all for task in one.reader_tasks]
+        for child in self.all:
+            if child.running:
+                child.kill()
+        await asyncio.gather(*(child.process.wait() for child in self.all))
+        readers = [task for child in self.all for task in child.reader_tasks]
         await asyncio.gather(*readers, return_exceptions=True)
 
     async def start(
@@ -123,32 +123,32 @@
             stdout=asyncio.subprocess.PIPE if on_line is not None else asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
         )  # fmt: skip
-        one = Process(name, process)
-        self.all.append(one)
+        child = Process(name, process)
+        self.all.append(child)
         loop = asyncio.get_running_loop()
-        one.reader_tasks.append(loop.create_task(self._collect_stderr(one)))
+        child.reader_tasks.append(loop.create_task(self._collect_stderr(child)))
         if on_line is not None:
-            one.reader_tasks.append(loop.create_task(self._forward_lines(one, on_line)))
-        return one
+            child.reader_tasks.append(loop.create_task(self._forward_lines(child, on_line)))
+        return child
 
     def failures(self) -> list[str]:
         """Describe each process that ended unexpectedly, with the end of its stderr."""
         found = []
-        for one in self.all:
-            if one.running or one.end_expected:
+        for child in self.all:
+            if child.running or child.end_expected:
                 continue
-            last = " | ".join(list(one.stderr_tail)[-3:])
-            found.append(f"{one.name} ended with status {one.process.returncode}: {last}")
+            last = " | ".join(list(child.stderr_tail)[-3:])
+            found.append(f"{child.name} ended with status {child.process.returncode}: {last}")
         return found
 
     @staticmethod
-    async def _collect_stderr(one: Process) -> None:
-        assert one.process.stderr is not None
-        while line := await one.process.stderr.readline():
-            one.stderr_tail.append(line.decode("utf-8", "replace").strip()[:500])
+    async def _collect_stderr(child: Process) -> None:
+        assert child.process.stderr is not None
+        while line := await child.process.stderr.readline():
+            child.stderr_tail.append(line.decode("utf-8", "replace").strip()[:500])
 
     @staticmethod
-    async def _forward_lines(one: Process, on_line: LineHandler) -> None:
-        assert one.process.stdout is not None
-        while line := await one.process.stdout.readline():
+    async def _forward_lines(child: Process, on_line: LineHandler) -> None:
+        assert child.process.stdout is not None
+        while line := await child.process.stdout.readline():
             on_line(line)
