--- a/benchmarks/fleet_scale/timeline.py
+++ b/benchmarks/fleet_scale/timeline.py
@@ -39,7 +39,7 @@
     settle: float  # once all are in service, before the rest; a member owns its keys 7.5 s after it joined
     rest: float  # without faults
     churn: float  # with restarts
-    single_ends: int  # number (no duration) of relays ended in each way
+    single_ends: int  # a number, not a duration: relays ended in each way
     spacing: float  # between two such ends
     detection: float  # from the last end to the cut
     cut: float
@@ -56,14 +56,14 @@
     """What was done in a run, as input to the measures."""
 
     single_ends: list[str] = field(default_factory=list)  # names of relays that were ended individually
-    rack: tuple[RelayKey, ...] = ()
-    zone: tuple[RelayKey, ...] = ()
-    cut_at: float = 0.0
+    rack: tuple[RelayKey, ...] = ()  # stub relays that ended with the rack
+    zone: tuple[RelayKey, ...] = ()  # stub relays that ended with the zone
+    cut_at: float = 0.0  # time of the cut; 0.0 without one
     agreement: Agreement | None = None  # of the last audit after the healing
     agreed_after: float = NEVER  # seconds from the healing to the audit that found all in agreement
     first_kill: Window | None = None  # from the kill of the first control machine
     second_kill: Window | None = None
-    killed_region: str = ""
+    killed_region: str = ""  # region of the killed control machines
     cut_region: str = ""
     steps: list[str] = field(default_factory=list)  # descriptions for the result page
 
