--- a/benchmarks/fleet_scale/keys.py
+++ b/benchmarks/fleet_scale/keys.py
@@ -1,8 +1,9 @@
-"""Keys whose owners are sampled, and who could come to own them.
+"""Keys whose owners are sampled, and the relays that are candidates to own them.
 
-Asking each of some thousand relays for each key, many times a second, would take more than the fleet does. A
-key's owner is the living relay that ranks first for it by rendezvous hashing; so the first few are asked at
-each look, and some of all others for a key at random, which would find an owner that the ranking doesn't explain.
+Asking each of some thousand relays about each key many times a second would take more CPU time than the fleet
+itself. The owner of a key is the living relay that ranks first for it by rendezvous hashing. So each sample
+asks the highest-ranked relays, and a few random relays about a random key to find owners that the ranking
+rules out.
 """
 
 from __future__ import annotations
@@ -11,15 +12,15 @@
 from collections.abc import Iterable
 
 from benchmarks.fleet_scale.layout import Layout
-from benchmarks.fleet_scale.protocol import KeyWatch
+from benchmarks.fleet_scale.protocol import SampledKey
 from violetdoor.control.roster import home_region
 from violetdoor.fleet.view import rendezvous_weight
 
-RANKED = 12  # relays asked for each key: by one in 4,000 all of these stand in the half of a region that dies
+CANDIDATES_PER_KEY = 12  # for about 1 key in 4,000 all of them are in the half of a region that dies
 
 
 class KeyPlan:
-    """The keys of a run by their regions."""
+    """The keys of a run, by home region, with the relays that rank highest for each."""
 
     def __init__(self, layout: Layout, count: int) -> None:
         self.keys = tuple(f"key-{n:04d}" for n in range(count))
@@ -27,27 +28,31 @@
         self._ranked: dict[str, dict[str, tuple[str, ...]]] = defaultdict(dict)
         for key in self.keys:
             region = home_region(key, layout.regions)
-            self._ranked[region][key] = _first(key, names[region])
+            self._ranked[region][key] = _highest_ranked(key, names[region])
 
-    def watched_by(self, region: str, relays: frozenset[str]) -> tuple[KeyWatch, ...]:
-        """The keys of a region, and which of these relays rank high for them."""
+    def sampled_keys(self, region: str, relays: frozenset[str]) -> tuple[SampledKey, ...]:
+        """Return the keys of a region, each with those of `relays` that are candidates to own it."""
         return tuple(
-            KeyWatch(key, tuple(name for name in ranked if name in relays))
+            SampledKey(key, tuple(name for name in ranked if name in relays))
             for key, ranked in self._ranked[region].items()
         )
 
-    def first(self, key: str) -> str:
-        """The relay that owns a key while all live."""
+    def preferred_owner(self, key: str) -> str:
+        """Return the relay that owns a key while all relays are alive."""
         return next(ranked[key][0] for ranked in self._ranked.values() if key in ranked)
 
 
 def _names_by_region(layout: Layout) -> dict[str, list[str]]:
     found: dict[str, list[str]] = defaultdict(list)
     for zone in layout.zones:
-        found[zone.region] += [relay.name for relay in (*zone.hollow, *zone.rack)]
+        found[zone.region] += [relay.name for relay in (*zone.stubs, *zone.rack)]
         found[zone.region] += [relay.name for relay in zone.real]
     return found
 
 
-def _first(key: str, names: Iterable[str]) -> tuple[str, ...]:
-    return tuple(sorted(names, key=lambda name: (rendezvous_weight(key, name), name), reverse=True)[:RANKED])
+def _highest_ranked(key: str, names: Iterable[str]) -> tuple[str, ...]:
+    return tuple(
+        sorted(names, key=lambda name: (rendezvous_weight(key, name), name), reverse=True)[
+            :CANDIDATES_PER_KEY
+        ]
+    )
--- a/benchmarks/fleet_scale/timeline.py
+++ b/benchmarks/fleet_scale/timeline.py
@@ -1,4 +1,4 @@
-"""The faults of a run, phase by phase, in regions that do not touch each other."""
+"""The phases of a run and the faults injected in each, in separate regions where there are enough of them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from random import Random
 
 from benchmarks.fleet_scale import protocol as p
-from benchmarks.fleet_scale.fleet import Fleet, FleetFaultError
+from benchmarks.fleet_scale.fleet import Fleet, FleetStartError
 from benchmarks.fleet_scale.layout import ControlMachine, Zone
 from benchmarks.fleet_scale.measures import NEVER, Agreement, agreement
 from benchmarks.fleet_scale.records import Window
@@ -18,33 +18,33 @@
 
 log = logging.getLogger("fleet_scale")
 
-RESTARTS_A_DAY = 3900  # of 5,600 relays
-DAY = 86_400.0  # s
-PACE = 100.0  # times as fast as the day's restarts come
-RELAYS_OF_THE_DAY = 5600
-RESTARTS_LEAST = 4  # also where so few relays would have fewer at that pace
-DOWN_FOR = 0.2  # s that a restarted relay is away
+RESTARTS_PER_DAY = 3900  # in a fleet of 5,600 relays (REFERENCE_RELAYS)
+DAY_S = 86_400.0
+RESTART_SPEEDUP = 100.0  # restarts come so many times as often as on an ordinary day
+REFERENCE_RELAYS = 5600
+MIN_RESTARTS = 4  # for small fleets, whose rate would give fewer
+RESTART_DOWNTIME_S = 0.2  # between the end of a relay and its next start
 ENDINGS: tuple[p.Ending, ...] = ("closed", "silent", "left")
-AUDIT_EVERY = 0.5  # s
-HEALED_LEAST = 4.0  # s after a healing in which bytes are looked at
-FIRST_WITHIN = 90.0  # s until all relays are in service after the start
-MAJORITY_AFTER_TWO = 5  # machines of a group that goes on with two of them dead
+AUDIT_INTERVAL_S = 0.5
+MIN_HEALED_S = 4.0  # least duration of the phase after the healing, in which traffic is measured
+FLEET_START_TIMEOUT_S = 90.0  # from the start until all relays are in service
+MIN_GROUP_FOR_TWO_DEATHS = 5  # the smallest group that keeps its majority with two machines dead
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """How long the phases take; seconds."""
-
-    start: float  # over which relays are started
-    settle: float  # from the last start to the rest; a member's keys are its own 7.5 s after it came
-    rest: float
-    churn: float
-    single_ends: int  # of each kind
-    spacing: float  # from one of them to the next
-    known: float  # from the last end to the cut
+    """Durations of the phases, in seconds."""
+
+    start: float  # within which all relays are started
+    settle: float  # once all are in service, before the rest; a member owns its keys 7.5 s after it joined
+    rest: float  # without faults
+    churn: float  # with restarts
+    single_ends: int  # a number, not a duration: relays ended in each way
+    spacing: float  # between two such ends
+    detection: float  # from the last end to the cut
     cut: float
-    second_kill: float  # from the first control machine's death to the second one's
-    agree: float = 15.0  # from the healing, in which all are to know one roster again
+    second_kill: float  # from the kill of one control machine to the next, or to the end of the window
+    agreement_timeout: float = 15.0  # from the healing until all must know the same rosters
 
 
 FULL = Schedule(12.0, 5.0, 12.0, 20.0, 14, 0.25, 15.0, 60.0, 20.0)
@@ -52,36 +52,36 @@
 
 
 @dataclass
-class Played:
-    """What was done, for the measures."""
-
-    single_ends: list[str] = field(default_factory=list)  # names of relays that were ended one by one
-    rack: tuple[RelayKey, ...] = ()
-    zone: tuple[RelayKey, ...] = ()
-    cut_at: float = 0.0
-    agreement: Agreement | None = None  # after the healing
-    agreed_after: float = NEVER  # s from the healing
-    first_kill: Window | None = None
+class TimelineResult:
+    """What was done in a run, as input to the measures."""
+
+    single_ends: list[str] = field(default_factory=list)  # names of relays that were ended individually
+    rack: tuple[RelayKey, ...] = ()  # stub relays that ended with the rack
+    zone: tuple[RelayKey, ...] = ()  # stub relays that ended with the zone
+    cut_at: float = 0.0  # time of the cut; 0.0 without one
+    agreement: Agreement | None = None  # of the last audit after the healing
+    agreed_after: float = NEVER  # seconds from the healing to the audit that found all in agreement
+    first_kill: Window | None = None  # from the kill of the first control machine
     second_kill: Window | None = None
-    killed_region: str = ""
+    killed_region: str = ""  # region of the killed control machines
     cut_region: str = ""
-    steps: list[str] = field(default_factory=list)
+    steps: list[str] = field(default_factory=list)  # descriptions for the result page
 
 
-class TimeLine:
-    """Plays a schedule on a fleet."""
+class Timeline:
+    """Runs the phases of a schedule on a fleet."""
 
     def __init__(self, fleet: Fleet, schedule: Schedule) -> None:
         self.fleet, self.schedule = fleet, schedule
         self.random = Random(fleet.seed)
-        self.played = Played()
+        self.result = TimelineResult()
         regions = fleet.layout.regions
-        # Roles of regions: with ten each has its own, with two the first takes all faults but the cut.
-        self.rack_zone, self.dead_zone = self._zones(regions)
-        self.kill_region = self._largest_group(regions[2:-1] or regions[:1])
+        # With ten regions each kind of fault has its own region; with two the first has all but the cut.
+        self.rack_zone, self.dead_zone = self._choose_zones(regions)
+        self.control_kill_region = self._largest_group(regions[2:-1] or regions[:1])
         self.cut_region = fleet.cut_region
 
-    def _zones(self, regions: Sequence[str]) -> tuple[Zone, Zone]:
+    def _choose_zones(self, regions: Sequence[str]) -> tuple[Zone, Zone]:
         first = self.fleet.layout.zones_of(regions[0])[0]
         second = self.fleet.layout.zones_of(regions[1 if len(regions) > 2 else 0])[-1]
         return first, second
@@ -99,11 +99,11 @@
             self.fleet.history.windows[name] = Window(begin, p.shared_clock())
 
     def _step(self, text: str) -> None:
-        self.played.steps.append(text)
+        self.result.steps.append(text)
         log.info("%s", text)
 
-    async def play(self) -> Played:
-        """All phases; FleetFaultError where the fleet does not come up."""
+    async def run(self) -> TimelineResult:
+        """Run all phases. Raises FleetStartError if the fleet does not start."""
         await self.begin()
         async with self._phase("rest"):
             await asyncio.sleep(self.schedule.rest)
@@ -118,24 +118,24 @@
                 await asyncio.gather(self.cut(), self.kill_controls())
             async with self._phase("healed"):
                 await self.heal()
-        return self.played
+        return self.result
 
-    async def rest_alone(self) -> None:
-        """The start and a rest, and nothing else."""
+    async def run_rest_only(self) -> None:
+        """Run the start and the phase of rest only."""
         await self.begin()
         async with self._phase("rest"):
             await asyncio.sleep(self.schedule.rest)
 
     async def begin(self) -> None:
-        """Bring the fleet up and let it settle."""
+        """Start the fleet, wait until all relays are in service, and let it settle."""
         begin = p.shared_clock()
         await self.fleet.start_controls()
-        log.info("control machines run, %.1f s", p.shared_clock() - begin)
+        log.info("control machines run after %.1f s", p.shared_clock() - begin)
         await asyncio.gather(self.fleet.start_hosts(self.schedule.start), self.fleet.start_real())
-        log.info("hosts and real relays run, %.1f s", p.shared_clock() - begin)
-        if not await self.fleet.wait_for(self.fleet.all_begun, FIRST_WITHIN):
-            raise FleetFaultError(
-                f"not all relays are in service within {FIRST_WITHIN:g} s: {self._missing()}"
+        log.info("hosts and real relays run after %.1f s", p.shared_clock() - begin)
+        if not await self.fleet.wait_for(self.fleet.all_started, FLEET_START_TIMEOUT_S):
+            raise FleetStartError(
+                f"not all relays are in service within {FLEET_START_TIMEOUT_S:g} s: {self._missing()}"
             )
         self._step(
             f"All started, over {self.schedule.start:g} s; in service after {p.shared_clock() - begin:.0f} s."
@@ -145,24 +145,26 @@
     def _missing(self) -> str:
         census = [host.census[-1] for host in self.fleet.history.hosts.values() if host.census]
         running, acting = sum(c.running for c in census), sum(c.acting for c in census)
-        return f"{running} run, {acting} hold a lease; {'; '.join(self.fleet.processes.faults())}"
+        return (
+            f"{running} stub relays run, {acting} hold a lease; {'; '.join(self.fleet.processes.failures())}"
+        )
 
     async def churn(self) -> None:
-        """Restarts in order, at the pace of a day played faster."""
-        rate = PACE * RESTARTS_A_DAY / DAY * self.fleet.layout.size.relays / RELAYS_OF_THE_DAY
-        count = max(RESTARTS_LEAST, round(rate * self.schedule.churn))
+        """Restart random relays in order, at RESTART_SPEEDUP times the rate of an ordinary day."""
+        rate = RESTART_SPEEDUP * RESTARTS_PER_DAY / DAY_S * self.fleet.layout.size.relays / REFERENCE_RELAYS
+        count = max(MIN_RESTARTS, round(rate * self.schedule.churn))
         names = sorted(self.fleet.history.running)
         chosen = self.random.sample(names, count)
         for name in chosen:
-            self.fleet.restart_relay(name, DOWN_FOR)
+            self.fleet.restart_relay(name, RESTART_DOWNTIME_S)
             await asyncio.sleep(self.schedule.churn / count)
         self._step(f"{count} relays restarted one by one, over {self.schedule.churn:g} s.")
 
     async def single_ends(self) -> None:
-        """Relays that die with their process, die with their machine, or leave, in all regions in turn."""
-        living = {region: self.fleet.living(region) for region in self.fleet.layout.regions}
+        """End single relays in all regions in turn: their process dies, their machine dies, or they leave."""
+        living = {region: self.fleet.running_stubs(region) for region in self.fleet.layout.regions}
         spared = {
-            relay.name for zone in (self.rack_zone, self.dead_zone) for relay in (*zone.rack, *zone.hollow)
+            relay.name for zone in (self.rack_zone, self.dead_zone) for relay in (*zone.rack, *zone.stubs)
         }
         regions = [r for r, names in living.items() if set(names) - spared]
         for number in range(self.schedule.single_ends):
@@ -171,7 +173,7 @@
                 name = self.random.choice([n for n in living[region] if n not in spared])
                 living[region].remove(name)
                 self.fleet.end_relay(name, how)
-                self.played.single_ends.append(name)
+                self.result.single_ends.append(name)
                 await asyncio.sleep(self.schedule.spacing)
         self._step(
             f"{self.schedule.single_ends} relays each, in all regions in turn: the process died, the machine died, "
@@ -179,32 +181,32 @@
         )
 
     async def many_ends(self) -> None:
-        """A rack's machines die in one region, a zone's processes in another one."""
-        self.played.rack = self.fleet.stop_rack(self.rack_zone)
-        self.played.zone = self.fleet.kill_zone(self.dead_zone)
+        """End all relays of a rack (their machines die) and of a zone (their processes die) at once."""
+        self.result.rack = self.fleet.stop_rack(self.rack_zone)
+        self.result.zone = self.fleet.kill_zone(self.dead_zone)
         self._step(
-            f"At once: a rack's {len(self.played.rack)} relays went silent in {self.rack_zone.region}, and the "
-            f"{len(self.played.zone)} of a zone died in {self.dead_zone.region}; {self.schedule.known:g} s to know."
+            f"At once: a rack's {len(self.result.rack)} relays went silent in {self.rack_zone.region}, and the "
+            f"{len(self.result.zone)} of a zone died in {self.dead_zone.region}; {self.schedule.detection:g} s to know."
         )
-        await asyncio.sleep(self.schedule.known)
+        await asyncio.sleep(self.schedule.detection)
 
     async def cut(self) -> None:
-        """Cut a region off, for a while."""
+        """Cut a region off for the duration of the schedule."""
         assert self.cut_region is not None
-        self.played.cut_region = self.cut_region
-        self.played.cut_at = p.shared_clock()
+        self.result.cut_region = self.cut_region
+        self.result.cut_at = p.shared_clock()
         self.fleet.links.cut()
         await asyncio.sleep(self.schedule.cut)
         self._step(f"{self.cut_region} was cut off from all others for {self.schedule.cut:g} s.")
 
     async def kill_controls(self) -> None:
-        """Meanwhile kill a control machine of another region, and of a group of five a second one."""
-        group = self.fleet.layout.group(self.kill_region)
-        self.played.killed_region = self.kill_region
-        self.played.first_kill = await self._kill_control(group[0], self.schedule.second_kill)
-        text = f"One control machine of {len(group)} was killed in {self.kill_region}"
-        if len(group) >= MAJORITY_AFTER_TWO:
-            self.played.second_kill = await self._kill_control(group[1], self.schedule.second_kill)
+        """Kill a control machine of another region during the cut, and a second one in a group of five."""
+        group = self.fleet.layout.group(self.control_kill_region)
+        self.result.killed_region = self.control_kill_region
+        self.result.first_kill = await self._kill_control(group[0], self.schedule.second_kill)
+        text = f"One control machine of {len(group)} was killed in {self.control_kill_region}"
+        if len(group) >= MIN_GROUP_FOR_TWO_DEATHS:
+            self.result.second_kill = await self._kill_control(group[1], self.schedule.second_kill)
             text += f", a second one {self.schedule.second_kill:g} s later"
         self._step(text + ".")
 
@@ -215,18 +217,21 @@
         return Window(begin, p.shared_clock())
 
     async def heal(self) -> None:
-        """Connect the region again, and ask until all relays stand at one roster."""
+        """Heal the links, and audit until all relays agree on the rosters or the timeout has passed."""
         self.fleet.links.heal()
         healed_at = p.shared_clock()
         while True:
-            await asyncio.sleep(AUDIT_EVERY)
-            stands = agreement(self.fleet.history, await self.fleet.audit())
-            if stands.apart == 0 or p.shared_clock() - healed_at > self.schedule.agree:
+            await asyncio.sleep(AUDIT_INTERVAL_S)
+            audited = agreement(self.fleet.history, await self.fleet.audit())
+            if (
+                audited.disagreeing_regions == 0
+                or p.shared_clock() - healed_at > self.schedule.agreement_timeout
+            ):
                 break
-        await asyncio.sleep(max(0.0, healed_at + HEALED_LEAST - p.shared_clock()))
-        self.played.agreement = stands
-        self.played.agreed_after = stands.last_at - healed_at if stands.apart == 0 else NEVER
+        await asyncio.sleep(max(0.0, healed_at + MIN_HEALED_S - p.shared_clock()))
+        self.result.agreement = audited
+        self.result.agreed_after = audited.last_at - healed_at if audited.disagreeing_regions == 0 else NEVER
         self._step(
-            f"Healed; all relays were asked for their rosters and counts every {AUDIT_EVERY:g} s, for "
-            f"{self.schedule.agree:g} s at the most."
+            f"Healed; all relays were asked for their rosters and counts every {AUDIT_INTERVAL_S:g} s, for "
+            f"{self.schedule.agreement_timeout:g} s at the most."
         )
