--- a/tests/test_oncall_page.py
+++ b/tests/test_oncall_page.py
@@ -1,4 +1,4 @@
-"""The page for on-call staff names every log line and counter of the program, and none that the program lacks."""
+"""Check that docs/oncall.md lists exactly the log lines and counters that the program has."""
 
 from __future__ import annotations
 
@@ -12,43 +12,44 @@
 
 from violetdoor import events
 
-PAGE = (ROOT / "docs" / "oncall.md").read_text()
-SOURCES = sorted(
+ONCALL_PAGE = (ROOT / "docs" / "oncall.md").read_text()
+# Packages that don't run as a service are left out.
+SERVICE_SOURCES = sorted(
     path
     for path in (ROOT / "violetdoor").rglob("*.py")
-    if not {"faults", "cli", "simhost"} & set(path.relative_to(ROOT).parts)  # none of them runs as a service
+    if not {"faults", "cli", "simhost"} & set(path.relative_to(ROOT).parts)
 )
 LOG_LEVELS = {"debug", "info", "warning", "error", "exception", "critical"}
 COUNTER_TABLES = {"counts", "counters"}
 PLACEHOLDER = re.compile(r"%(?:\.\d+)?[sdrgf]")
-# In a pattern of the page, any text: three dots, or a word in capitals, which may be joined by underscores.
-VARIABLE = re.compile(r"\.\.\.|(?<![A-Za-z0-9])[A-Z][A-Z0-9]*(?![A-Za-z0-9])")
-EVENT = "X X"  # a name and its values; tests/test_fleet_process.py holds the page to the names
-# Written by other means than a literal at a log call: the limit's suffix, the last word of a start that failed.
-WRITTEN_ELSEWHERE = {"... (and N like it left out)", "violetdoor: ..."}
+# In a pattern on the page, three dots or a word in capitals, also between underscores, stand for any text.
+WILDCARD = re.compile(r"\.\.\.|(?<![A-Za-z0-9])[A-Z][A-Z0-9]*(?![A-Za-z0-9])")
+EVENT_MESSAGE = "X X"  # event name and values; tests/test_fleet_process.py checks the page's event names
+# Lines that are no literal of a log call: the log rate limit's suffix, and the error of a failed start.
+LINES_WITHOUT_LITERAL_CALL = {"... (and N like it left out)", "violetdoor: ..."}
 
 
-def section(title: str) -> str:
-    return PAGE.partition(f"## {title}\n")[2].partition("\n## ")[0]
+def page_section(title: str) -> str:
+    return ONCALL_PAGE.partition(f"## {title}\n")[2].partition("\n## ")[0]
 
 
-def documented(text: str) -> list[str]:
-    """The patterns in backquotes in the first cells of the tables of a text."""
+def table_patterns(text: str) -> list[str]:
+    """Return the backquoted patterns in the first column of the tables in a text."""
     cells = [line.split(" | ")[0] for line in text.splitlines() if line.startswith("| `")]
     return [pattern for cell in cells for pattern in re.findall(r"`([^`]+)`", cell)]
 
 
-def expression(pattern: str) -> re.Pattern[str]:
-    """What a pattern of the page matches: words in capitals and three dots stand for any text."""
-    return re.compile(".*".join(re.escape(text) for text in VARIABLE.split(pattern)))
+def pattern_regex(pattern: str) -> re.Pattern[str]:
+    """Return the regular expression of a pattern on the page: words in capitals and "..." match any text."""
+    return re.compile(".*".join(re.escape(text) for text in WILDCARD.split(pattern)))
 
 
-def matches(pattern: str, text: str) -> bool:
-    """Whether a pattern of the page and a text of the program, with X for its values, may mean one line."""
-    written = re.compile(
+def pattern_matches_message(pattern: str, text: str) -> bool:
+    """Return whether a pattern on the page and a message (X for each value) can be the same log line."""
+    message_regex = re.compile(
         ".+".join(re.escape(part) for part in re.split(r"(?<![A-Za-z0-9])X(?![A-Za-z0-9])", text))
     )
-    return bool(expression(pattern).search(text) or written.fullmatch(pattern))
+    return bool(pattern_regex(pattern).search(text) or message_regex.fullmatch(pattern))
 
 
 def is_logger(node: ast.expr) -> bool:
@@ -57,18 +58,20 @@
 
 
 def log_messages(tree: ast.AST) -> Iterator[str]:
-    """The text of each log call, with X for its values."""
+    """Yield the message of each log call, with X for each placeholder."""
     for node in ast.walk(tree):
         if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute) or not node.args:
             continue
         if node.func.attr in LOG_LEVELS and is_logger(node.func.value):
             message = node.args[0]
-            assert isinstance(message, ast.Constant), f"{ast.unparse(node)}: its text is no literal"
+            assert isinstance(message, ast.Constant), (
+                f"{ast.unparse(node)}: the message must be a string literal"
+            )
             yield PLACEHOLDER.sub("X", str(message.value))
 
 
 def counter_names(node: ast.expr) -> Iterator[str]:
-    """The names that a subscript of a counter table may have, with X for what is known at run time only."""
+    """Yield the possible keys of a counter table's subscript, with X for each part computed at run time."""
     if isinstance(node, ast.Constant):
         yield str(node.value)
     elif isinstance(node, ast.IfExp):
@@ -78,74 +81,83 @@
         yield "".join(str(part.value) if isinstance(part, ast.Constant) else "X" for part in node.values)
 
 
-def counters(tree: ast.AST) -> Iterator[str]:
-    """The names that the program counts; the metrics of /stats are on the page docs/operators.md."""
+def counted_names(tree: ast.AST) -> Iterator[str]:
+    """Yield the names of the program's counters; docs/operators.md documents the metrics of /stats."""
     for node in ast.walk(tree):
         if not isinstance(node, ast.Subscript) or not isinstance(node.ctx, ast.Store):
             continue
-        holder = ast.unparse(node.value)
+        table = ast.unparse(node.value)
         if (
-            holder.rpartition(".")[2].strip("_") in COUNTER_TABLES
-            and "metrics" not in holder
-            and "figures" not in holder
+            table.rpartition(".")[2].strip("_") in COUNTER_TABLES
+            and "metrics" not in table
+            and "figures" not in table
         ):
             yield from counter_names(node.slice)
 
 
-def is_counter(pattern: str, name: str) -> bool:
-    """Whether a name on the page and a name in the program, with X for its values, may mean one counter."""
-    computed = re.compile(re.escape(name).replace("X", r"\w+"))
-    return bool(expression(pattern).fullmatch(name) or computed.fullmatch(pattern))
+def pattern_matches_counter(pattern: str, name: str) -> bool:
+    """Return whether a pattern on the page and a counter name (X for each value) can be the same counter."""
+    name_regex = re.compile(re.escape(name).replace("X", r"\w+"))
+    return bool(pattern_regex(pattern).fullmatch(name) or name_regex.fullmatch(pattern))
 
 
-def program() -> list[tuple[Path, ast.Module]]:
-    return [(path, ast.parse(path.read_text())) for path in SOURCES]
+def parsed_sources() -> list[tuple[Path, ast.Module]]:
+    return [(path, ast.parse(path.read_text())) for path in SERVICE_SOURCES]
 
 
 def test_every_log_line_is_on_the_page() -> None:
-    patterns = documented(section("Log lines"))
-    found = [(path.name, message) for path, tree in program() for message in log_messages(tree)]
+    patterns = table_patterns(page_section("Log lines"))
+    found = [(path.name, message) for path, tree in parsed_sources() for message in log_messages(tree)]
     assert len(found) > 50
-    missing = [one for one in found if one[1] != EVENT and not any(matches(p, one[1]) for p in patterns)]
+    missing = [
+        entry
+        for entry in found
+        if entry[1] != EVENT_MESSAGE and not any(pattern_matches_message(p, entry[1]) for p in patterns)
+    ]
     assert missing == []
 
 
-def test_every_line_of_the_page_is_written_by_the_program() -> None:
-    messages = [message for _, tree in program() for message in log_messages(tree) if message != EVENT]
-    names = {value for name, value in vars(events).items() if name.isupper()}
-    unknown = [
+def test_every_log_line_on_the_page_is_logged_by_the_program() -> None:
+    messages = [
+        message for _, tree in parsed_sources() for message in log_messages(tree) if message != EVENT_MESSAGE
+    ]
+    event_names = {value for name, value in vars(events).items() if name.isupper()}
+    unmatched_patterns = [
         pattern
-        for pattern in documented(section("Log lines"))
-        if pattern not in WRITTEN_ELSEWHERE
-        and pattern.split()[0] not in names
-        and not any(matches(pattern, message) for message in messages)
+        for pattern in table_patterns(page_section("Log lines"))
+        if pattern not in LINES_WITHOUT_LITERAL_CALL
+        and pattern.split()[0] not in event_names
+        and not any(pattern_matches_message(pattern, message) for message in messages)
     ]
-    assert unknown == []
+    assert unmatched_patterns == []
 
 
 def test_every_counter_is_on_the_page() -> None:
-    patterns = documented(section("Counters"))
-    found = {(path.name, name) for path, tree in program() for name in counters(tree)}
+    patterns = table_patterns(page_section("Counters"))
+    found = {(path.name, name) for path, tree in parsed_sources() for name in counted_names(tree)}
     assert len(found) > 80
-    assert sorted(one for one in found if not any(is_counter(p, one[1]) for p in patterns)) == []
+    assert (
+        sorted(entry for entry in found if not any(pattern_matches_counter(p, entry[1]) for p in patterns))
+        == []
+    )
 
 
-def texts(tree: ast.AST) -> Iterator[str]:
-    """All string literals, among them the values of the enums that name counters."""
+def string_literals(tree: ast.AST) -> Iterator[str]:
+    """Yield all string literals; they include the values of enums used as counter names."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Constant) and isinstance(node.value, str):
             yield node.value
 
 
 def test_every_counter_of_the_page_is_counted() -> None:
-    found = {name for _, tree in program() for name in counters(tree)}
-    literals = {text for _, tree in program() for text in texts(tree)}
-    unknown = [
+    found = {name for _, tree in parsed_sources() for name in counted_names(tree)}
+    literals = {text for _, tree in parsed_sources() for text in string_literals(tree)}
+    unmatched_patterns = [
         pattern
-        for pattern in documented(section("Counters"))
-        if pattern not in literals and not any(is_counter(pattern, name) for name in found)
+        for pattern in table_patterns(page_section("Counters"))
+        if pattern not in literals and not any(pattern_matches_counter(pattern, name) for name in found)
     ]
-    assert unknown == []
+    assert unmatched_patterns == []
 
 
 @pytest.mark.parametrize(
@@ -158,4 +170,4 @@
     ],
 )
 def test_patterns_of_the_page_match_texts_of_the_program(pattern: str, text: str, is_matched: bool) -> None:
-    assert (expression(pattern).fullmatch(text) is not None) is is_matched
+    assert (pattern_regex(pattern).fullmatch(text) is not None) is is_matched
