--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -23,7 +23,7 @@
 PATH = re.compile(r"[\w.-]+(/[\w.-]*)+")
 DOTTED_NAME = re.compile(r"[A-Za-z_]\w*(\.[A-Za-z_]\w*)*")
 COMMAND = re.compile(r"python -m (violetdoor[\w.]*)( .*)?")
-# Index of the glossary's last column, after term, meaning and code: terms used elsewhere, no names in our code.
+# Index of the last glossary column, after term, meaning and code: terms used elsewhere, no names in our code.
 EXTERNAL_TERMS_COLUMN = 3
 MIN_BACKQUOTED_NAMES = 100  # fewer names on a page mean that the page was parsed wrongly
 MIN_ERROR_NAMES = 10
